--- a/packages/forwarding/include/crowlink/forwarding.hpp
+++ b/packages/forwarding/include/crowlink/forwarding.hpp
@@ -1,18 +1,19 @@
 #pragma once
 
-// The forwarding module: which upstreams a flow may go to, in which order.
+// The forwarding module: selects the candidate upstreams of a flow and their
+// order.
 //
-//   address_shares.hpp    the services that share an address
-//   candidate.hpp         one agent that may take a flow
-//   candidate_chain.hpp   a flow's candidates in order, without allocation
-//   member_order.hpp      a chain as indices into a table
-//   packet_header.hpp     what travels in front of each packet between hosts
-//   flow_tables.hpp       where one flow's packets may go
-//   forwarding_set.hpp    all services of a node: address to tables
-//   forwarding_table.hpp  a service's immutable table: flow hash to chain
-//   removed_service.hpp   a service that is no longer declared
+//   address_shares.hpp    weighted selection among the services of an address
+//   candidate.hpp         an agent that may own a flow
+//   candidate_chain.hpp   a flow's candidates in order, stored inline
+//   member_order.hpp      a candidate chain as table indices
+//   packet_header.hpp     the header of each packet between hosts
+//   flow_tables.hpp       the tables that apply to one flow
+//   forwarding_set.hpp    immutable map from address to service tables
+//   forwarding_table.hpp  immutable map from flow hash to candidate chain
+//   removed_service.hpp   a service removed from the document
 //   service_tables.hpp    a service's current and previous table
-//   table_pair.hpp        what routing needs of a service
+//   table_pair.hpp        the tables of a service, for packet routing
 
 #include "crowlink/forwarding/address_shares.hpp"
 #include "crowlink/forwarding/candidate.hpp"
--- a/packages/forwarding/include/crowlink/forwarding/address_hash.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/address_hash.hpp
@@ -8,7 +8,7 @@
 namespace crowlink::internal
 {
 
-// An address of a service with its protocol: the key of the address index.
+// A service address with its protocol: the key of the address index.
 struct service_address
 {
     endpoint address;
@@ -18,7 +18,7 @@
                             const service_address&) = default;
 };
 
-// XXH3 of an address.
+// Hashes a service address with XXH3.
 struct address_hash
 {
     std::size_t operator()(const service_address& value) const;
--- a/packages/forwarding/include/crowlink/forwarding/address_shares.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/address_shares.hpp
@@ -10,7 +10,7 @@
 namespace crowlink::internal
 {
 
-// One service's part of the new flows of an address.
+// A service and its weight among the services of an address.
 struct weighted_service
 {
     service_id service;
@@ -20,46 +20,49 @@
                             const weighted_service&) = default;
 };
 
-// Most addresses belong to one service.
+// Stores one element inline, since most addresses belong to one service.
 using share_list = boost::container::small_vector<weighted_service, 1>;
 
-// The shares of an address, now and before. Which service a flow goes to is a
-// weighted rendezvous (see forwarding_table), so that a change of weights moves
-// as few flows as can be.
+// The current and former shares of an address. The service of a flow is
+// selected by weighted rendezvous hashing (see forwarding_table), so that a
+// change of weights moves the least possible number of flows.
 class address_shares
 {
 public:
-    // So many earlier states are remembered. Flows live for a minute or so, in
-    // which operators change the shares of one address a few times at most.
-    static constexpr std::size_t states_kept = 3;
-    // One change touches a few services.
-    static constexpr std::uint32_t absences_kept = 8;
+    // The number of former states that are kept. Flows live for about a minute,
+    // and operators change the shares of one address a few times at most within
+    // that time.
+    static constexpr std::size_t max_former_states = 3;
+    // The number of consecutive index updates that an address stays in the
+    // index without a service. One document change affects only a few services.
+    static constexpr std::uint32_t max_absent_updates = 8;
 
-    // Adds a part to the present shares.
-    void add(const weighted_service& part);
+    // Adds a service to the current shares.
+    void add(const weighted_service& added);
     void clear() { m_current.clear(); }
-    // Nothing leads on from the address now.
+    // Whether the address has no service now.
     bool empty() const { return m_current.empty(); }
-    // Nothing has for so many states of the index that it may be forgotten:
-    // the views of one change arrive one by one, and an address may be without
-    // a service between two of them.
-    bool is_forgotten() const { return m_absent > absences_kept; }
+    // Whether the address has been without a service for so many index updates
+    // that it can be removed. The views of one change arrive one by one, and an
+    // address may have no service between two of them.
+    bool is_expired() const { return m_absent_updates > max_absent_updates; }
     const share_list& current() const { return m_current; }
 
-    // Takes over what an earlier state of the address knew.
-    void remember(const address_shares& before);
+    // Copies the history of the preceding state of the address, and adds that
+    // state to it.
+    void inherit_history(const address_shares& before);
 
-    // Where a new flow goes; zero where nothing leads on.
+    // The service of a new flow; zero if the address has no service.
     service_id choose(std::uint64_t flow_hash) const;
-    // Where it went by the latest earlier state that says otherwise; zero if
-    // none does.
+    // The service that the most recent differing state selects for the flow;
+    // zero if all kept states select the current service.
     service_id choose_former(std::uint64_t flow_hash) const;
 
 private:
     share_list m_current;
-    // Latest first.
+    // Former shares, most recent first.
     boost::container::small_vector<share_list, 0> m_former;
-    std::uint32_t m_absent = 0;
+    std::uint32_t m_absent_updates = 0;
 };
 
 } // namespace crowlink::internal
--- a/packages/forwarding/include/crowlink/forwarding/candidate_chain.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/candidate_chain.hpp
@@ -10,18 +10,18 @@
 namespace crowlink
 {
 
-// A flow's candidates in the order in which they are asked. Holds its elements
-// in place; adding beyond the capacity is ignored.
+// A flow's candidates in order of preference. Elements are stored inline;
+// push_back is ignored once the capacity is reached.
 class candidate_chain
 {
 public:
     static constexpr std::size_t capacity = 4;
 
-    void push_back(const candidate& next)
+    void push_back(const candidate& added)
     {
         if (m_size < capacity)
         {
-            m_items[m_size++] = next;
+            m_items[m_size++] = added;
         }
     }
 
--- a/packages/forwarding/include/crowlink/forwarding/flow_tables.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/flow_tables.hpp
@@ -5,14 +5,14 @@
 
 struct table_pair;
 
-// Where one flow's packets may go. The tables live as long as the set that
-// they come from.
+// The tables that apply to one flow. The pointers are valid as long as the
+// forwarding set that returned them.
 struct flow_tables
 {
-    // Where a new flow goes; null where nothing leads on from its address.
+    // The tables of a new flow's service; null if no service has the address.
     const table_pair* chosen = nullptr;
-    // Where it would have gone before shares changed, if that was another
-    // service; a flow that is open may be there.
+    // The tables of the service that the flow was assigned to before the shares
+    // changed, if that was another one; an open flow may still be there.
     const table_pair* former = nullptr;
 };
 
--- a/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
@@ -18,41 +18,42 @@
 namespace crowlink
 {
 
-// An immutable snapshot of all services of a node: address to service, with
-// the current and the previous table of each. A changed set shares with its
-// predecessor whatever did not change. Versions only rise: a view or removal of
-// an older version than the held one is left out, and of two records of an
-// upstream the newer one is kept.
+// An immutable snapshot of all services of a node: maps an address to its
+// service, with the current and the previous table of each service. An updated
+// set shares unchanged parts with its predecessor. Versions never decrease: a
+// view or removal of an older version than the stored one is ignored, and of
+// two records of an upstream the newer one is kept.
 class forwarding_set
 {
 public:
-    // A set without services.
+    // Returns a set without services.
     static std::shared_ptr<const forwarding_set> empty();
 
-    // This set with the changes applied; this set itself if none counts.
+    // Returns `prior` with the changes applied, or `prior` itself if none has
+    // an effect.
     static std::shared_ptr<const forwarding_set>
     changed(const std::shared_ptr<const forwarding_set>& prior,
             std::span<const service_view> views,
             std::span<const removed_service> removed);
 
-    // The tables of the service at an address, or null: the quick way for
-    // traffic. Does not allocate.
+    // The tables of the service at an address, or null; the fast path for
+    // packets. Does not allocate.
     const table_pair* tables_at(transport protocol,
                                 const endpoint& address) const;
-    // The same for one flow, by its hash: an address may be shared among
-    // services. Does not allocate.
+    // The tables for one flow, selected by its hash, since services may share
+    // an address. Does not allocate.
     flow_tables tables_of(const flow_key& flow, std::uint64_t flow_hash) const;
-    // All about the service at an address, or null. Does not allocate.
+    // The service at an address, or null. Does not allocate.
     const service_tables* find(transport protocol,
                                const endpoint& address) const;
-    // The service of this number, or null.
+    // The service with this id, or null.
     const service_tables* find(service_id service) const;
 
     std::size_t size() const { return m_services.size(); }
-    // Identifies the content: equal for equal services and tables.
+    // Hash of the content: equal for equal services and tables.
     std::uint64_t digest() const { return m_digest; }
 
-    // The bytes that the set and all that it holds take.
+    // Memory of the set and everything it refers to, in bytes.
     std::size_t memory() const;
 
 private:
@@ -62,26 +63,28 @@
 
     forwarding_set();
 
-    // Takes in one change; yields whether it counts.
+    // Apply one change; return whether it has an effect.
     bool apply(const service_view& view);
     bool apply(const removed_service& removed);
     bool was_removed_since(const service_view& view) const;
-    // Yields whether the removal was news.
-    bool remember(const removed_service& removed);
-    void finish(const forwarding_set& prior);
+    // Records a removal; returns whether it was unknown.
+    bool record_removal(const removed_service& removed);
+    void rebuild_lookup(const forwarding_set& prior);
     const table_pair* tables_of(service_id service) const;
-    bool same_addresses(const forwarding_set& other) const;
+    bool has_same_addresses(const forwarding_set& other) const;
     std::shared_ptr<const address_index>
     make_index(const address_index& prior) const;
 
-    // Sorted by number.
+    // Sorted by id.
     std::vector<std::shared_ptr<const service_tables>> m_services;
-    // In the same order.
+    // In the order of m_services.
     std::vector<table_pair> m_tables;
     std::shared_ptr<const address_index> m_index;
-    // Late views must not bring these back. Bounded: the oldest go first.
+    // Removed services, which late views must not restore. Bounded: the oldest
+    // entry is evicted first.
     std::vector<removed_service> m_removed;
-    // The sum over the services, so that a change costs no walk over all.
+    // The sum of the services' digests, so that a change needs no iteration
+    // over all services.
     std::uint64_t m_digest = 0;
 };
 
--- a/packages/forwarding/include/crowlink/forwarding/member_order.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/member_order.hpp
@@ -8,8 +8,8 @@
 namespace crowlink
 {
 
-// A flow's candidates as indices into a forwarding table's members: what a
-// cache keeps of a chain. It means something only beside the table's digest.
+// A flow's candidates as indices into a forwarding table's members: the form in
+// which a cache stores a chain. It is valid only with the table's digest.
 struct member_order
 {
     std::array<std::uint16_t, candidate_chain::capacity> members{};
--- a/packages/forwarding/include/crowlink/forwarding/removed_service.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/removed_service.hpp
@@ -7,7 +7,7 @@
 namespace crowlink
 {
 
-// A service that the document of this version no longer declares.
+// A service that the document no longer declares as of this version.
 struct removed_service
 {
     service_id service;
--- a/packages/forwarding/include/crowlink/forwarding/service_tables.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/service_tables.hpp
@@ -11,20 +11,20 @@
 namespace crowlink
 {
 
-// A service in a forwarding set: its view, its table, and the table before.
+// A service in a forwarding set: its view and its current and previous tables.
 struct service_tables
 {
     std::shared_ptr<const service_view> view;
     std::shared_ptr<const forwarding_table> current;
     // Kept until the current table is replaced; null for a new service.
     std::shared_ptr<const forwarding_table> previous;
-    // The last records of members that are gone; late views must not bring
-    // older ones back. Bounded: the oldest go first.
+    // The last records of members that left, so that late views do not restore
+    // older records. Bounded: the oldest record is evicted first.
     std::vector<upstream_record> departed;
 
     service_id service() const { return view->declared.id; }
 
-    // The bytes that view and tables take.
+    // Memory of the view and the tables, in bytes.
     std::size_t memory() const;
 };
 
--- a/packages/forwarding/include/crowlink/forwarding/table_pair.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/table_pair.hpp
@@ -7,8 +7,8 @@
 
 class forwarding_table;
 
-// What routing needs of a service, kept together for speed. The tables live as
-// long as the set that the pair comes from.
+// The tables of a service, stored together for fast packet routing. The
+// pointers are valid as long as the forwarding set that holds the pair.
 struct table_pair
 {
     service_id service;
--- a/packages/forwarding/src/address_shares.cpp
+++ b/packages/forwarding/src/address_shares.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// From a hash to (0, 1); the upper 53 bits are what a double holds.
+// Maps a hash to the open interval (0, 1). A double holds the upper 53 bits.
 double uniform(std::uint64_t hash)
 {
     constexpr unsigned dropped_bits = 11;
@@ -19,52 +19,52 @@
     return (static_cast<double>(hash >> dropped_bits) + 0.5) * scale;
 }
 
-// Lower is better: -ln u / w, as in forwarding_table.
-double rank(const weighted_service& part, std::uint64_t flow_hash)
+// The rendezvous cost -ln u / w, as in forwarding_table; the lowest wins.
+double rendezvous_cost(const weighted_service& share, std::uint64_t flow_hash)
 {
-    const std::uint64_t hash = combine_hash(flow_hash, part.service.value());
-    return -std::log(uniform(hash)) / static_cast<double>(part.weight);
+    const std::uint64_t hash = combine_hash(flow_hash, share.service.value());
+    return -std::log(uniform(hash)) / static_cast<double>(share.weight);
 }
 
-service_id best(const share_list& shares, std::uint64_t flow_hash)
+service_id select_service(const share_list& shares, std::uint64_t flow_hash)
 {
     if (shares.size() == 1)
     {
         return shares.front().service;
     }
-    service_id found;
+    service_id selected;
     double lowest = HUGE_VAL;
-    for (const weighted_service& part : shares)
+    for (const weighted_service& share : shares)
     {
-        const double value = rank(part, flow_hash);
-        if (value < lowest)
+        const double cost = rendezvous_cost(share, flow_hash);
+        if (cost < lowest)
         {
-            lowest = value;
-            found = part.service;
+            lowest = cost;
+            selected = share.service;
         }
     }
-    return found;
+    return selected;
 }
 
 } // namespace
 
-void address_shares::add(const weighted_service& part)
+void address_shares::add(const weighted_service& added)
 {
-    const auto place =
-        std::lower_bound(m_current.begin(), m_current.end(), part);
-    m_current.insert(place, part);
+    const auto position =
+        std::lower_bound(m_current.begin(), m_current.end(), added);
+    m_current.insert(position, added);
 }
 
-void address_shares::remember(const address_shares& before)
+void address_shares::inherit_history(const address_shares& before)
 {
     m_former = before.m_former;
-    m_absent = empty() ? before.m_absent + 1 : 0;
+    m_absent_updates = empty() ? before.m_absent_updates + 1 : 0;
     if (before.m_current == m_current || before.empty())
     {
         return;
     }
     m_former.insert(m_former.begin(), before.m_current);
-    if (m_former.size() > states_kept)
+    if (m_former.size() > max_former_states)
     {
         m_former.pop_back();
     }
@@ -72,18 +72,18 @@
 
 service_id address_shares::choose(std::uint64_t flow_hash) const
 {
-    return best(m_current, flow_hash);
+    return select_service(m_current, flow_hash);
 }
 
 service_id address_shares::choose_former(std::uint64_t flow_hash) const
 {
-    const service_id now = choose(flow_hash);
+    const service_id current = choose(flow_hash);
     for (const share_list& shares : m_former)
     {
-        const service_id then = best(shares, flow_hash);
-        if (then != now)
+        const service_id former = select_service(shares, flow_hash);
+        if (former != current)
         {
-            return then;
+            return former;
         }
     }
     return service_id();
--- a/packages/forwarding/src/forwarding_set.cpp
+++ b/packages/forwarding/src/forwarding_set.cpp
@@ -29,13 +29,13 @@
 namespace
 {
 
-// More services than are removed while a late view is under way.
-constexpr std::size_t removed_limit = 1024;
+// Exceeds the number of services removed while a late view is in transit.
+constexpr std::size_t max_removed_services = 1024;
 
 using services = std::vector<std::shared_ptr<const service_tables>>;
 
 template <class Services>
-auto place_of(Services& all, service_id wanted)
+auto lower_bound_of(Services& all, service_id wanted)
 {
     return std::lower_bound(
         all.begin(), all.end(), wanted,
@@ -43,10 +43,10 @@
         { return held->service() < id; });
 }
 
-bool holds(const services& all, services::const_iterator place,
+bool is_at(const services& all, services::const_iterator position,
            service_id wanted)
 {
-    return place != all.end() && (*place)->service() == wanted;
+    return position != all.end() && (*position)->service() == wanted;
 }
 
 std::uint64_t digest_of(const service_tables& tables)
@@ -74,20 +74,20 @@
                         std::span<const removed_service> removed)
 {
     const std::shared_ptr<forwarding_set> next(new forwarding_set(*prior));
-    bool counts = false;
-    for (const removed_service& gone : removed)
+    bool has_effect = false;
+    for (const removed_service& removal : removed)
     {
-        counts = next->apply(gone) || counts;
+        has_effect = next->apply(removal) || has_effect;
     }
     for (const service_view& view : views)
     {
-        counts = next->apply(view) || counts;
+        has_effect = next->apply(view) || has_effect;
     }
-    if (!counts)
+    if (!has_effect)
     {
         return prior;
     }
-    next->finish(*prior);
+    next->rebuild_lookup(*prior);
     return next;
 }
 
@@ -98,9 +98,9 @@
         return false;
     }
     const service_id id = view.declared.id;
-    const auto place = place_of(m_services, id);
-    const bool known = holds(m_services, place, id);
-    auto tables = internal::merged(known ? place->get() : nullptr, view);
+    const auto position = lower_bound_of(m_services, id);
+    const bool known = is_at(m_services, position, id);
+    auto tables = internal::merge_view(known ? position->get() : nullptr, view);
     if (!tables)
     {
         return false;
@@ -108,40 +108,41 @@
     m_digest += digest_of(*tables);
     if (known)
     {
-        m_digest -= digest_of(**place);
-        *place = std::move(tables);
+        m_digest -= digest_of(**position);
+        *position = std::move(tables);
         return true;
     }
-    m_services.insert(place, std::move(tables));
+    m_services.insert(position, std::move(tables));
     return true;
 }
 
 bool forwarding_set::apply(const removed_service& removed)
 {
-    const auto place = place_of(m_services, removed.service);
-    const bool known = holds(m_services, place, removed.service);
-    if (known && (*place)->view->version > removed.version)
+    const auto position = lower_bound_of(m_services, removed.service);
+    const bool known = is_at(m_services, position, removed.service);
+    if (known && (*position)->view->version > removed.version)
     {
         return false;
     }
     if (known)
     {
-        m_digest -= digest_of(**place);
-        m_services.erase(place);
+        m_digest -= digest_of(**position);
+        m_services.erase(position);
     }
-    return remember(removed) || known;
+    return record_removal(removed) || known;
 }
 
 bool forwarding_set::was_removed_since(const service_view& view) const
 {
     return std::any_of(m_removed.begin(), m_removed.end(),
-                       [&view](const removed_service& gone) {
-                           return gone.service == view.declared.id &&
-                                  gone.version >= view.version;
+                       [&view](const removed_service& removal)
+                       {
+                           return removal.service == view.declared.id &&
+                                  removal.version >= view.version;
                        });
 }
 
-bool forwarding_set::remember(const removed_service& removed)
+bool forwarding_set::record_removal(const removed_service& removed)
 {
     const auto found = std::find_if(m_removed.begin(), m_removed.end(),
                                     [&removed](const removed_service& known) {
@@ -153,7 +154,7 @@
         found->version = std::max(found->version, removed.version);
         return rises;
     }
-    if (m_removed.size() == removed_limit)
+    if (m_removed.size() == max_removed_services)
     {
         m_removed.erase(m_removed.begin());
     }
@@ -161,7 +162,7 @@
     return true;
 }
 
-void forwarding_set::finish(const forwarding_set& prior)
+void forwarding_set::rebuild_lookup(const forwarding_set& prior)
 {
     m_tables.clear();
     m_tables.reserve(m_services.size());
@@ -170,13 +171,13 @@
         m_tables.push_back(table_pair{tables->service(), tables->current.get(),
                                       tables->previous.get()});
     }
-    if (!same_addresses(prior))
+    if (!has_same_addresses(prior))
     {
         m_index = make_index(*prior.m_index);
     }
 }
 
-bool forwarding_set::same_addresses(const forwarding_set& other) const
+bool forwarding_set::has_same_addresses(const forwarding_set& other) const
 {
     return std::equal(m_services.begin(), m_services.end(),
                       other.m_services.begin(), other.m_services.end(),
@@ -206,24 +207,26 @@
     for (const auto& tables : m_services)
     {
         const service_view& view = *tables->view;
-        const internal::weighted_service all{view.declared.id, 1};
+        const internal::weighted_service sole{view.declared.id, 1};
         for (const endpoint& address : view.declared.addresses)
         {
             const internal::service_address key{address,
                                                 view.declared.protocol};
             const auto [entry, added] = newest.emplace(key, view.version);
-            // An address that moves to another service while views arrive
-            // unevenly belongs to the service of the newer document.
+            // While the views of an address that moves to another service
+            // arrive one by one, the address belongs to the service of the
+            // newer document.
             if (added || entry->second < view.version)
             {
                 entry->second = view.version;
                 (*index)[key].clear();
-                (*index)[key].add(all);
+                (*index)[key].add(sole);
             }
         }
     }
-    // A share that has not changed keeps its older version, so that versions
-    // tell nothing here: while views arrive, an address has all that name it.
+    // The view of an unchanged share keeps its older version, so that versions
+    // do not show which shares are current: while views arrive, an address has
+    // the shares of all services that name it.
     for (const auto& tables : m_services)
     {
         const service& declared = tables->view->declared;
@@ -238,8 +241,8 @@
     for (const auto& [key, before] : prior)
     {
         internal::address_shares& shares = (*index)[key];
-        shares.remember(before);
-        if (shares.is_forgotten())
+        shares.inherit_history(before);
+        if (shares.is_expired())
         {
             index->erase(key);
         }
@@ -249,12 +252,12 @@
 
 const table_pair* forwarding_set::tables_of(service_id service) const
 {
-    const auto place = place_of(m_services, service);
-    if (!holds(m_services, place, service))
+    const auto position = lower_bound_of(m_services, service);
+    if (!is_at(m_services, position, service))
     {
         return nullptr;
     }
-    return &m_tables[static_cast<std::size_t>(place - m_services.begin())];
+    return &m_tables[static_cast<std::size_t>(position - m_services.begin())];
 }
 
 flow_tables forwarding_set::tables_of(const flow_key& flow,
@@ -274,8 +277,8 @@
 const table_pair* forwarding_set::tables_at(transport protocol,
                                             const endpoint& address) const
 {
-    const flow_key any{endpoint(), address, protocol};
-    return tables_of(any, 0).chosen;
+    const flow_key probe{endpoint(), address, protocol};
+    return tables_of(probe, 0).chosen;
 }
 
 const service_tables* forwarding_set::find(transport protocol,
@@ -287,13 +290,13 @@
 
 const service_tables* forwarding_set::find(service_id service) const
 {
-    const auto place = place_of(m_services, service);
-    return holds(m_services, place, service) ? place->get() : nullptr;
+    const auto position = lower_bound_of(m_services, service);
+    return is_at(m_services, position, service) ? position->get() : nullptr;
 }
 
 std::size_t forwarding_set::memory() const
 {
-    // A node of the index holds its value, its hash and a link.
+    // An index node is_at its value, its hash and a pointer to the next node.
     constexpr std::size_t node =
         sizeof(address_index::value_type) + 2 * sizeof(void*);
     std::size_t total = sizeof *this;
--- a/packages/forwarding/src/forwarding_table.cpp
+++ b/packages/forwarding/src/forwarding_table.cpp
@@ -7,7 +7,7 @@
 #include <bit>
 #include <cmath>
 
-// The look-up hashes once for each member: the hash must be inlined.
+// A look-up computes one hash for each member, so the hash must be inlined.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -17,12 +17,12 @@
 namespace
 {
 
-// The first members are offered without asking whether they are excluded: the
-// answer would be mispredicted too often.
-constexpr std::size_t always_offered = 16;
+// The first members are inserted without the check whether they are excluded,
+// since the processor would mispredict that branch too often.
+constexpr std::size_t unchecked_members = 16;
 
-// A number in (0, 1] that is uniform over flows and members. It never is zero,
-// since its logarithm is taken.
+// A number in (0, 1] that is uniform over flows and members. Zero is excluded,
+// since the logarithm is taken.
 double uniform(std::uint64_t seed, std::uint64_t flow_hash)
 {
     constexpr int unused_bits = 11;
@@ -32,32 +32,32 @@
     return static_cast<double>((hash >> unused_bits) + 1) * unit;
 }
 
-// The members of least cost, cheapest first. A cost and the index of its member
-// are one number: the order of doubles that are not negative is that of their
-// bits, whose low ones give way to the index. Keeping the order then takes no
-// branch that a processor could mispredict.
-class cheapest
+// The members of lowest cost in ascending order. A cost and the index of its
+// member are packed into one integer: non-negative doubles compare like their
+// bit patterns, and the index replaces the low bits. Keeping the order then
+// needs no branch that a processor could mispredict.
+class lowest_costs
 {
 public:
-    cheapest() { m_entries.fill(UINT64_MAX); }
+    lowest_costs() { m_entries.fill(UINT64_MAX); }
 
-    void offer(std::size_t member, double cost)
+    void insert(std::size_t member, double cost)
     {
         std::uint64_t entry = (bits(cost) & ~index_mask) | member;
-        // Written out, so that the places stay in registers.
+        // Unrolled, so that the entries stay in registers.
         static_assert(candidate_chain::capacity == 4,
-                      "one exchange is needed for each place of a chain");
+                      "one exchange is needed for each candidate of a chain");
         exchange(m_entries[0], entry);
         exchange(m_entries[1], entry);
         exchange(m_entries[2], entry);
         exchange(m_entries[3], entry);
     }
 
-    // Whether a member of at least this cost has no place.
-    bool excludes(double least) const { return bits(least) > m_entries[3]; }
+    // Whether a member of at least this cost is not among the lowest.
+    bool excludes(double cost) const { return bits(cost) > m_entries[3]; }
 
-    // The members in the places; those beyond the number of members offered
-    // mean nothing.
+    // The indices of the members; values beyond the number of inserted members
+    // are meaningless.
     std::array<std::uint16_t, candidate_chain::capacity> members() const
     {
         return {index(m_entries[0]), index(m_entries[1]), index(m_entries[2]),
@@ -78,13 +78,14 @@
         return static_cast<std::uint16_t>(entry & index_mask);
     }
 
-    // Puts the better one of the two into the place. A condition would become
-    // a branch, which every second member mispredicts.
-    static void exchange(std::uint64_t& place, std::uint64_t& entry)
+    // Stores the lower of the two values in `slot` and the other one in
+    // `entry`. A condition would become a branch, which every second member
+    // mispredicts.
+    static void exchange(std::uint64_t& slot, std::uint64_t& entry)
     {
-        const std::uint64_t better = -std::uint64_t{entry < place};
-        const std::uint64_t difference = (entry ^ place) & better;
-        place ^= difference;
+        const std::uint64_t mask = -std::uint64_t{entry < slot};
+        const std::uint64_t difference = (entry ^ slot) & mask;
+        slot ^= difference;
         entry ^= difference;
     }
 
@@ -93,11 +94,11 @@
 
 std::uint64_t digest_of(const upstream_record& member)
 {
-    const std::uint64_t name =
+    const std::uint64_t identity =
         combine_hash(stable_hash(member.id.value()), member.started.value());
     const std::uint64_t agent =
         combine_hash(stable_hash(member.agent.to_string()), member.weight);
-    return combine_hash(name, agent);
+    return combine_hash(identity, agent);
 }
 
 } // namespace
@@ -107,9 +108,10 @@
 {
     const std::shared_ptr<forwarding_table> table(new forwarding_table);
     table->m_service = view.declared.id;
-    table->m_length = std::clamp<std::size_t>(view.declared.sharing.candidates,
-                                              1, candidate_chain::capacity);
-    table->m_digest = combine_hash(view.declared.id.value(), table->m_length);
+    table->m_chain_length = std::clamp<std::size_t>(
+        view.declared.sharing.candidates, 1, candidate_chain::capacity);
+    table->m_digest =
+        combine_hash(view.declared.id.value(), table->m_chain_length);
     const auto is_ready = [](const upstream_record& record)
     {
         return record.state == upstream_state::ready;
@@ -129,8 +131,8 @@
 void forwarding_table::add(const upstream_record& record)
 {
     member added;
-    // Without the incarnation: an upstream that starts anew gets its flows
-    // back.
+    // The seed excludes the incarnation, so that a restarted upstream keeps its
+    // flows.
     added.seed = stable_hash(record.id.value());
     added.inverse_weight = 1.0 / std::max(record.weight, 1U);
     added.target = candidate{record.agent, tag_of(record.id, record.started)};
@@ -142,43 +144,44 @@
 
 member_order forwarding_table::order(std::uint64_t flow_hash) const
 {
-    cheapest best;
+    lowest_costs lowest;
     for (std::size_t i = 0; i < m_members.size(); ++i)
     {
-        const double drawn = uniform(m_members[i].seed, flow_hash);
+        const double random_value = uniform(m_members[i].seed, flow_hash);
         const double inverse_weight = m_members[i].inverse_weight;
-        // Since 1 - u <= -ln(u), this is at most the cost -ln(u)/w; among
-        // equal weights it gives the same order.
-        const double bound = (1.0 - drawn) * inverse_weight;
-        if (i >= always_offered && best.excludes(bound))
+        // Since 1 - u <= -ln(u), this is a lower bound of the cost -ln(u)/w;
+        // with equal weights it yields the same order.
+        const double bound = (1.0 - random_value) * inverse_weight;
+        if (i >= unchecked_members && lowest.excludes(bound))
         {
             continue;
         }
-        best.offer(i,
-                   m_equal_weights ? bound : -std::log(drawn) * inverse_weight);
+        lowest.insert(i, m_equal_weights
+                             ? bound
+                             : -std::log(random_value) * inverse_weight);
     }
-    member_order found;
-    found.size =
-        static_cast<std::uint8_t>(std::min(m_length, m_members.size()));
-    found.members = best.members();
-    return found;
+    member_order selected;
+    selected.size =
+        static_cast<std::uint8_t>(std::min(m_chain_length, m_members.size()));
+    selected.members = lowest.members();
+    return selected;
 }
 
-candidate_chain forwarding_table::chain_of(const member_order& found) const
+candidate_chain forwarding_table::chain_of(const member_order& selected) const
 {
     candidate_chain chain;
-    for (std::size_t place = 0; place < found.size; ++place)
+    for (std::size_t index = 0; index < selected.size; ++index)
     {
-        chain.push_back(m_members[found.members[place]].target);
+        chain.push_back(m_members[selected.members[index]].target);
     }
     return chain;
 }
 
 std::size_t forwarding_table::memory() const
 {
-    const bool in_place = m_members.capacity() <= members_in_place;
-    const std::size_t outside = in_place ? 0 : m_members.capacity();
-    return sizeof *this + outside * sizeof(member);
+    const bool is_inline = m_members.capacity() <= inline_members;
+    const std::size_t heap_members = is_inline ? 0 : m_members.capacity();
+    return sizeof *this + heap_members * sizeof(member);
 }
 
 } // namespace crowlink
--- a/packages/forwarding/src/service_tables.cpp
+++ b/packages/forwarding/src/service_tables.cpp
@@ -6,11 +6,11 @@
 namespace
 {
 
-// The bytes of a text beyond the object itself.
+// The heap memory of a string, in bytes.
 std::size_t heap_bytes(const std::string& text)
 {
-    static const std::size_t in_place = std::string().capacity();
-    return text.capacity() > in_place ? text.capacity() + 1 : 0;
+    static const std::size_t inline_capacity = std::string().capacity();
+    return text.capacity() > inline_capacity ? text.capacity() + 1 : 0;
 }
 
 std::size_t heap_bytes(const std::vector<upstream_record>& records)
--- a/packages/forwarding/src/view_merge.cpp
+++ b/packages/forwarding/src/view_merge.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-// As many as there are members, so that a late view is known for what it is
-// after a replacement of all of them; some more for small services.
-constexpr std::size_t departed_least = 8;
+// The number of departed records normalized is that of the members, so that
+// late views are recognised after all members are replaced, but at least this
+// many, for small services.
+constexpr std::size_t min_departed_records = 8;
 
 const upstream_record* find(const std::vector<upstream_record>& records,
                             const upstream_id& id)
@@ -28,64 +29,67 @@
         records.begin(), records.end(), id,
         [](const upstream_record& record, const upstream_id& wanted)
         { return record.id < wanted; });
-    const bool is_there = found != records.end() && found->id == id;
-    return is_there ? &*found : nullptr;
+    const bool is_found = found != records.end() && found->id == id;
+    return is_found ? &*found : nullptr;
 }
 
-// The members of a view; of two records of an upstream the newer one counts,
-// and a record that is older than the one an upstream left with is left out.
-std::vector<upstream_record> newest_members(const service_tables& held,
+// The members of a view. Of two records of an upstream the newer one is
+// normalized; a record older than the last one of a departed upstream is
+// ignored.
+std::vector<upstream_record> newest_members(const service_tables& stored,
                                             const service_view& view)
 {
     std::vector<upstream_record> members;
     members.reserve(view.members.size());
-    for (const upstream_record& arrived : view.members)
+    for (const upstream_record& received : view.members)
     {
         const upstream_record* known =
-            find_sorted(held.view->members, arrived.id);
+            find_sorted(stored.view->members, received.id);
         if (known != nullptr)
         {
-            members.push_back(newer(*known, arrived) ? *known : arrived);
+            members.push_back(newer(*known, received) ? *known : received);
             continue;
         }
-        known = find(held.departed, arrived.id);
-        if (known == nullptr || !newer(*known, arrived))
+        known = find(stored.departed, received.id);
+        if (known == nullptr || !newer(*known, received))
         {
-            members.push_back(arrived);
+            members.push_back(received);
         }
     }
     return members;
 }
 
-// Who left: those that had left before and have not come back, and those that
-// were members until now.
+// The records of departed upstreams: those that departed earlier and have not
+// returned, and the stored members that are absent from `members`.
 std::vector<upstream_record>
-departed_after(const service_tables& held,
+departed_after(const service_tables& stored,
                const std::vector<upstream_record>& members)
 {
     std::vector<upstream_record> departed;
-    const auto keep_if_absent = [&](const upstream_record& record)
+    const auto add_if_absent = [&](const upstream_record& record)
     {
         if (find_sorted(members, record.id) == nullptr)
         {
             departed.push_back(record);
         }
     };
-    std::for_each(held.departed.begin(), held.departed.end(), keep_if_absent);
-    std::for_each(held.view->members.begin(), held.view->members.end(),
-                  keep_if_absent);
-    const std::size_t limit = std::max(departed_least, members.size());
+    std::for_each(stored.departed.begin(), stored.departed.end(),
+                  add_if_absent);
+    std::for_each(stored.view->members.begin(), stored.view->members.end(),
+                  add_if_absent);
+    const std::size_t limit = std::max(min_departed_records, members.size());
     if (departed.size() > limit)
     {
-        const auto surplus =
+        const auto excess =
             static_cast<std::ptrdiff_t>(departed.size() - limit);
-        departed.erase(departed.begin(), departed.begin() + surplus);
+        departed.erase(departed.begin(), departed.begin() + excess);
     }
     return departed;
 }
 
-// A view as the set keeps it: members sorted, without what only agents need.
-service_view kept(const service_view& view)
+// A view in the form in which the set stores it: members sorted, fields that
+// only agents use omitted.
+service_view normalized(const service_view& view)
 {
     service_view value{view.version, view.declared, view.members, {}};
     std::sort(value.members.begin(), value.members.end(),
@@ -97,37 +101,37 @@
 std::shared_ptr<const service_tables> first_tables(const service_view& view)
 {
     service_tables tables;
-    tables.view = std::make_shared<const service_view>(kept(view));
+    tables.view = std::make_shared<const service_view>(normalized(view));
     tables.current = forwarding_table::build(*tables.view);
     return std::make_shared<const service_tables>(std::move(tables));
 }
 
 } // namespace
 
-std::shared_ptr<const service_tables> merged(const service_tables* held,
-                                             const service_view& view)
+std::shared_ptr<const service_tables> merge_view(const service_tables* stored,
+                                                 const service_view& view)
 {
-    if (held == nullptr)
+    if (stored == nullptr)
     {
         return first_tables(view);
     }
-    if (view.version < held->view->version)
+    if (view.version < stored->view->version)
     {
         return nullptr;
     }
-    service_view next = kept(view);
-    next.members = newest_members(*held, next);
-    if (next == *held->view)
+    service_view next = normalized(view);
+    next.members = newest_members(*stored, next);
+    if (next == *stored->view)
     {
         return nullptr;
     }
-    service_tables tables = *held;
-    tables.departed = departed_after(*held, next.members);
+    service_tables tables = *stored;
+    tables.departed = departed_after(*stored, next.members);
     tables.view = std::make_shared<const service_view>(std::move(next));
     auto table = forwarding_table::build(*tables.view);
-    if (table->digest() != held->current->digest())
+    if (table->digest() != stored->current->digest())
     {
-        tables.previous = held->current;
+        tables.previous = stored->current;
         tables.current = std::move(table);
     }
     return std::make_shared<const service_tables>(std::move(tables));
--- a/packages/forwarding/src/view_merge.hpp
+++ b/packages/forwarding/src/view_merge.hpp
@@ -7,9 +7,10 @@
 namespace crowlink::internal
 {
 
-// A service's tables after a view of it arrived; null if the view tells nothing
-// new or is older than the held one. `held` is null for a new service.
-std::shared_ptr<const service_tables> merged(const service_tables* held,
-                                             const service_view& view);
+// Merges a view into a service's tables and returns the result; null if the
+// view changes nothing or is older than the stored one. `stored` is null for a
+// new service.
+std::shared_ptr<const service_tables> merge_view(const service_tables* stored,
+                                                 const service_view& view);
 
 } // namespace crowlink::internal
--- a/packages/forwarding/test/forwarding_set_test.cpp
+++ b/packages/forwarding/test/forwarding_set_test.cpp
@@ -11,16 +11,16 @@
 
 using set_pointer = std::shared_ptr<const forwarding_set>;
 
-set_pointer with(const set_pointer& prior, const service_view& view)
+set_pointer apply_view(const set_pointer& prior, const service_view& view)
 {
     return forwarding_set::changed(prior, std::span(&view, 1), {});
 }
 
-set_pointer without(const set_pointer& prior, std::uint32_t service,
-                    std::uint64_t version)
+set_pointer remove_service(const set_pointer& prior, std::uint32_t service,
+                           std::uint64_t version)
 {
-    const removed_service gone{service_id(service), config_version(version)};
-    return forwarding_set::changed(prior, {}, std::span(&gone, 1));
+    const removed_service removal{service_id(service), config_version(version)};
+    return forwarding_set::changed(prior, {}, std::span(&removal, 1));
 }
 
 const service_tables* find(const set_pointer& set, std::uint32_t service)
@@ -48,111 +48,115 @@
     EXPECT_EQ(find(set, 4), nullptr);
 }
 
-TEST(forwarding_set, keeps_the_previous_table_and_shares_the_others)
+TEST(forwarding_set,
+     an_update_keeps_the_previous_table_and_shares_other_services)
 {
     const auto before = three_services();
-    const auto after = with(before, sample::view(2, 9));
+    const auto after = apply_view(before, sample::view(2, 9));
     EXPECT_EQ(find(after, 2)->previous, find(before, 2)->current);
     EXPECT_EQ(find(after, 1), find(before, 1));
     EXPECT_NE(after->digest(), before->digest());
-    const auto again = with(after, sample::view(2, 2));
+    const auto again = apply_view(after, sample::view(2, 2));
     EXPECT_EQ(find(again, 2)->previous, find(after, 2)->current);
 }
 
-TEST(forwarding_set, a_view_that_leaves_the_table_alone_keeps_both_tables)
+TEST(forwarding_set, a_view_that_changes_no_table_keeps_both_tables)
 {
-    const auto first = with(three_services(), sample::view(2, 9));
+    const auto first = apply_view(three_services(), sample::view(2, 9));
     service_view renewed = sample::view(2, 9);
     renewed.members[0].sequence = 2;
-    const auto second = with(first, renewed);
+    const auto second = apply_view(first, renewed);
     EXPECT_NE(second, first);
     EXPECT_EQ(find(second, 2)->current, find(first, 2)->current);
     EXPECT_EQ(find(second, 2)->previous, find(first, 2)->previous);
-    EXPECT_EQ(with(second, renewed), second);
+    EXPECT_EQ(apply_view(second, renewed), second);
 }
 
-TEST(forwarding_set, an_older_document_never_replaces_a_newer_one)
+TEST(forwarding_set, ignores_views_and_removals_of_an_older_document)
 {
     service_view newer_view = sample::view(2, 2);
     newer_view.version = config_version(5);
-    const auto set = with(three_services(), newer_view);
-    EXPECT_EQ(with(set, sample::view(2, 9)), set);
-    EXPECT_EQ(without(set, 2, 4), set);
-    const auto removed = without(set, 2, 5);
+    const auto set = apply_view(three_services(), newer_view);
+    EXPECT_EQ(apply_view(set, sample::view(2, 9)), set);
+    EXPECT_EQ(remove_service(set, 2, 4), set);
+    const auto removed = remove_service(set, 2, 5);
     EXPECT_EQ(find(removed, 2), nullptr);
-    EXPECT_EQ(removed->digest(), without(three_services(), 2, 5)->digest());
-    EXPECT_EQ(with(removed, newer_view), removed);
+    EXPECT_EQ(removed->digest(),
+              remove_service(three_services(), 2, 5)->digest());
+    EXPECT_EQ(apply_view(removed, newer_view), removed);
     newer_view.version = config_version(6);
-    EXPECT_NE(find(with(removed, newer_view), 2), nullptr);
+    EXPECT_NE(find(apply_view(removed, newer_view), 2), nullptr);
 }
 
-TEST(forwarding_set, a_removal_that_comes_first_keeps_late_views_out)
+TEST(forwarding_set, ignores_a_late_view_after_the_removal_of_its_service)
 {
-    const auto removed = without(forwarding_set::empty(), 1, 3);
-    EXPECT_EQ(find(with(removed, sample::view(1, 3)), 1), nullptr);
-    EXPECT_EQ(without(removed, 1, 3), removed);
+    const auto removed = remove_service(forwarding_set::empty(), 1, 3);
+    EXPECT_EQ(find(apply_view(removed, sample::view(1, 3)), 1), nullptr);
+    EXPECT_EQ(remove_service(removed, 1, 3), removed);
 }
 
-TEST(forwarding_set, an_older_record_never_replaces_a_newer_one)
+TEST(forwarding_set, ignores_older_records_of_an_upstream)
 {
     service_view draining = sample::view(1, 3);
     draining.members[0].sequence = 7;
     draining.members[0].state = upstream_state::draining;
-    const auto set = with(forwarding_set::empty(), draining);
-    EXPECT_EQ(with(set, sample::view(1, 3)), set);
-    // It left; a late view still has it as ready.
+    const auto set = apply_view(forwarding_set::empty(), draining);
+    EXPECT_EQ(apply_view(set, sample::view(1, 3)), set);
+    // The upstream leaves; a late view still lists it as ready.
     service_view left = sample::view(1, 3);
     left.members.erase(left.members.begin());
-    const auto gone = with(set, left);
-    EXPECT_EQ(with(gone, sample::view(1, 3)), gone);
-    // It is there again under a new incarnation.
-    service_view back = sample::view(1, 3);
-    back.members[0].started = incarnation(2);
-    EXPECT_EQ(find(with(gone, back), 1)->current->size(), 3U);
+    const auto removed_member = apply_view(set, left);
+    EXPECT_EQ(apply_view(removed_member, sample::view(1, 3)), removed_member);
+    // The upstream returns apply_view a new incarnation.
+    service_view returned = sample::view(1, 3);
+    returned.members[0].started = incarnation(2);
+    EXPECT_EQ(find(apply_view(removed_member, returned), 1)->current->size(),
+              3U);
 }
 
-TEST(forwarding_set, remembers_a_bounded_number_of_members_that_left)
+TEST(forwarding_set, keeps_a_bounded_number_of_departed_members)
 {
-    auto set = with(forwarding_set::empty(), sample::view(1, 12));
+    auto set = apply_view(forwarding_set::empty(), sample::view(1, 12));
     for (std::uint32_t round = 1; round < 20; ++round)
     {
         service_view next = sample::view(1, 12 * (round + 1));
         next.members.erase(next.members.begin(),
                            next.members.begin() + 12 * round);
-        set = with(set, next);
+        set = apply_view(set, next);
         ASSERT_LE(find(set, 1)->departed.size(), 12U);
     }
-    // The last ones to leave are known, and older records of them refused.
+    // The members that left last are recorded, and their older records ignored.
     service_view late = *find(set, 1)->view;
     late.members.push_back(find(set, 1)->departed.back());
     --late.members.back().sequence;
-    EXPECT_EQ(with(set, late), set);
+    EXPECT_EQ(apply_view(set, late), set);
 }
 
-TEST(forwarding_set, a_moved_address_leads_to_the_newer_document)
+TEST(forwarding_set,
+     a_moved_address_belongs_to_the_service_of_the_newer_document)
 {
-    service_view taker = sample::view(2, 4);
-    taker.version = config_version(2);
-    taker.declared.addresses.push_back(sample::address_of(1));
-    service_view loser = sample::view(1, 3);
-    const std::vector<service_view> orders{loser, taker};
+    service_view new_owner = sample::view(2, 4);
+    new_owner.version = config_version(2);
+    new_owner.declared.addresses.push_back(sample::address_of(1));
+    service_view old_owner = sample::view(1, 3);
+    const std::vector<service_view> views{old_owner, new_owner};
     const auto set =
-        forwarding_set::changed(forwarding_set::empty(), orders, {});
+        forwarding_set::changed(forwarding_set::empty(), views, {});
     EXPECT_EQ(find(set, 1)->service(), service_id(2));
 }
 
-TEST(forwarding_set, the_order_of_arrival_does_not_matter)
+TEST(forwarding_set, the_digest_is_independent_of_the_order_of_views)
 {
     const auto first = three_services();
-    auto second = with(forwarding_set::empty(), sample::view(2, 4));
-    second = with(second, sample::view(3, 5));
-    second = with(second, sample::view(1, 3));
+    auto second = apply_view(forwarding_set::empty(), sample::view(2, 4));
+    second = apply_view(second, sample::view(3, 5));
+    second = apply_view(second, sample::view(1, 3));
     EXPECT_EQ(first->digest(), second->digest());
     EXPECT_GT(first->memory(), sizeof(forwarding_set));
 }
 
-service_view sharing(std::uint32_t id, std::uint64_t version,
-                     std::uint32_t weight)
+service_view shared_view(std::uint32_t id, std::uint64_t version,
+                         std::uint32_t weight)
 {
     service_view value = sample::view(id, 3);
     value.version = config_version(version);
@@ -178,26 +182,28 @@
     return set->tables_of(flow, stable_hash(flow)).chosen->service;
 }
 
-TEST(forwarding_set, an_address_is_shared_by_weight)
+TEST(forwarding_set, distributes_flows_of_a_shared_address_by_weight)
 {
-    const auto set = with(with(forwarding_set::empty(), sharing(1, 1, 90)),
-                          sharing(2, 1, 10));
+    const auto set =
+        apply_view(apply_view(forwarding_set::empty(), shared_view(1, 1, 90)),
+                   shared_view(2, 1, 10));
     std::uint32_t second = 0;
     constexpr std::uint32_t flows = 10000;
     for (std::uint32_t i = 0; i < flows; ++i)
     {
         second += chosen(set, flow_to_shared(i)) == service_id(2) ? 1 : 0;
     }
-    // Four standard deviations of a tenth of the flows are 120.
+    // The tolerance of 120 is four standard deviations of a tenth of the flows.
     EXPECT_NEAR(second, flows * 0.1, 120);
 }
 
-TEST(forwarding_set, a_change_of_weights_moves_only_what_it_must)
+TEST(forwarding_set, a_higher_weight_moves_flows_only_to_that_service)
 {
-    const std::vector<service_view> both{sharing(1, 1, 90), sharing(2, 1, 10)};
+    const std::vector<service_view> both{shared_view(1, 1, 90),
+                                         shared_view(2, 1, 10)};
     const auto before =
         forwarding_set::changed(forwarding_set::empty(), both, {});
-    const auto after = with(before, sharing(2, 2, 30));
+    const auto after = apply_view(before, shared_view(2, 2, 30));
     for (std::uint32_t i = 0; i < 1000; ++i)
     {
         const flow_key flow = flow_to_shared(i);
@@ -215,16 +221,17 @@
     }
 }
 
-TEST(forwarding_set, an_address_that_moved_is_remembered_at_its_former_service)
+TEST(forwarding_set, keeps_the_former_service_of_a_moved_address)
 {
     auto set =
-        with(with(forwarding_set::empty(), sharing(1, 1, 1)), sharing(2, 1, 0));
+        apply_view(apply_view(forwarding_set::empty(), shared_view(1, 1, 1)),
+                   shared_view(2, 1, 0));
     const flow_key flow = flow_to_shared(1);
     EXPECT_EQ(set->tables_of(flow, stable_hash(flow)).former, nullptr);
-    // The two views of the change arrive one after the other.
-    set = with(set, sharing(1, 2, 0));
+    // The two views of one document change arrive one after the other.
+    set = apply_view(set, shared_view(1, 2, 0));
     EXPECT_EQ(set->tables_of(flow, stable_hash(flow)).chosen, nullptr);
-    set = with(set, sharing(2, 2, 1));
+    set = apply_view(set, shared_view(2, 2, 1));
     const flow_tables found = set->tables_of(flow, stable_hash(flow));
     EXPECT_EQ(found.chosen->service, service_id(2));
     ASSERT_NE(found.former, nullptr);
--- a/packages/forwarding/test/forwarding_table_test.cpp
+++ b/packages/forwarding/test/forwarding_table_test.cpp
@@ -27,8 +27,9 @@
     return values;
 }
 
-// Every member is scored and all are sorted.
-std::vector<endpoint> naive_chain(const service_view& view, std::uint64_t hash)
+// The reference implementation: scores all members and sorts them.
+std::vector<endpoint> reference_chain(const service_view& view,
+                                      std::uint64_t hash)
 {
     std::vector<std::pair<double, endpoint>> scored;
     for (const upstream_record& member : view.members)
@@ -37,10 +38,10 @@
         {
             continue;
         }
-        const std::uint64_t drawn = XXH3_64bits_withSeed(
+        const std::uint64_t random_bits = XXH3_64bits_withSeed(
             &hash, sizeof hash, stable_hash(member.id.value()));
         const double uniform =
-            static_cast<double>((drawn >> 11U) + 1) * 0x1p-53;
+            static_cast<double>((random_bits >> 11U) + 1) * 0x1p-53;
         scored.emplace_back(-std::log(uniform) / member.weight, member.agent);
     }
     std::sort(scored.begin(), scored.end());
@@ -65,7 +66,7 @@
     return found;
 }
 
-TEST(forwarding_table, agrees_with_sorting_all_members)
+TEST(forwarding_table, chains_equal_those_of_the_reference_implementation)
 {
     std::mt19937_64 random(seed);
     for (const std::uint32_t members : {0U, 1U, 2U, 3U, 7U, 64U, 500U})
@@ -83,13 +84,14 @@
             const auto table = forwarding_table::build(view);
             for (const std::uint64_t hash : flow_hashes(200))
             {
-                ASSERT_EQ(agents(table->chain(hash)), naive_chain(view, hash));
+                ASSERT_EQ(agents(table->chain(hash)),
+                          reference_chain(view, hash));
             }
         }
     }
 }
 
-TEST(forwarding_table, shares_flows_by_weight)
+TEST(forwarding_table, distributes_flows_by_weight)
 {
     service_view view = sample::view(1, 4);
     const std::array<std::uint32_t, 4> weights{100, 200, 300, 1000};
@@ -106,7 +108,7 @@
     }
     for (const upstream_record& member : view.members)
     {
-        // Five standard deviations of a share are under 0.006.
+        // The tolerance of 0.006 exceeds five standard deviations of a share.
         EXPECT_NEAR(share[member.agent], member.weight / 1600.0, 0.006);
     }
 }
@@ -123,7 +125,7 @@
     }
 }
 
-TEST(forwarding_table, a_change_moves_only_the_changed_members_flows)
+TEST(forwarding_table, a_changed_member_moves_only_its_own_flows)
 {
     const service_view full = sample::view(1, 20);
     service_view without = full;
@@ -139,7 +141,7 @@
     {
         const endpoint old = before->chain(hash)[0].agent;
         const endpoint next = weighted->chain(hash)[0].agent;
-        // The naive rule "flows move only to the heavier member".
+        // Flows move only to the member whose weight increased.
         ASSERT_TRUE(next == old || next == changed);
         if (old == changed)
         {
@@ -152,7 +154,7 @@
     EXPECT_GT(moved, 500U);
 }
 
-TEST(forwarding_table, the_digest_tells_contents_apart)
+TEST(forwarding_table, the_digest_differs_for_different_contents)
 {
     const service_view view = sample::view(1, 3);
     std::vector<service_view> others(5, view);
@@ -173,7 +175,7 @@
     EXPECT_EQ(digests.count(forwarding_table::build(renewed)->digest()), 1U);
 }
 
-TEST(forwarding_table, a_new_incarnation_keeps_its_place_and_changes_its_tag)
+TEST(forwarding_table, a_new_incarnation_keeps_its_flows_and_changes_its_tag)
 {
     const service_view view = sample::view(1, 5);
     service_view restarted = view;
--- a/packages/forwarding/test/sample_views.hpp
+++ b/packages/forwarding/test/sample_views.hpp
@@ -35,7 +35,7 @@
     return endpoint{ip_address::from_v4(bytes), 80};
 }
 
-// A service of version 1 with members of equal weight.
+// A service at version 1 whose members have equal weight.
 inline service_view view(std::uint32_t service, std::uint32_t members)
 {
     service_view value;
