--- a/packages/forwarding/src/forwarding_table.cpp
+++ b/packages/forwarding/src/forwarding_table.cpp
@@ -46,7 +46,7 @@
         std::uint64_t entry = (bits(cost) & ~index_mask) | member;
         // Unrolled, so that the entries stay in registers.
         static_assert(candidate_chain::capacity == 4,
-                      "one exchange is needed for each candidate of a chain");
+                      "one exchange is needed for each place of a chain");
         exchange(m_entries[0], entry);
         exchange(m_entries[1], entry);
         exchange(m_entries[2], entry);
--- a/packages/forwarding/test/forwarding_set_test.cpp
+++ b/packages/forwarding/test/forwarding_set_test.cpp
@@ -11,13 +11,13 @@
 
 using set_pointer = std::shared_ptr<const forwarding_set>;
 
-set_pointer apply_view(const set_pointer& prior, const service_view& view)
+set_pointer with(const set_pointer& prior, const service_view& view)
 {
     return forwarding_set::changed(prior, std::span(&view, 1), {});
 }
 
-set_pointer remove_service(const set_pointer& prior, std::uint32_t service,
-                           std::uint64_t version)
+set_pointer without(const set_pointer& prior, std::uint32_t service,
+                    std::uint64_t version)
 {
     const removed_service removal{service_id(service), config_version(version)};
     return forwarding_set::changed(prior, {}, std::span(&removal, 1));
@@ -52,47 +52,46 @@
      an_update_keeps_the_previous_table_and_shares_other_services)
 {
     const auto before = three_services();
-    const auto after = apply_view(before, sample::view(2, 9));
+    const auto after = with(before, sample::view(2, 9));
     EXPECT_EQ(find(after, 2)->previous, find(before, 2)->current);
     EXPECT_EQ(find(after, 1), find(before, 1));
     EXPECT_NE(after->digest(), before->digest());
-    const auto again = apply_view(after, sample::view(2, 2));
+    const auto again = with(after, sample::view(2, 2));
     EXPECT_EQ(find(again, 2)->previous, find(after, 2)->current);
 }
 
 TEST(forwarding_set, a_view_that_changes_no_table_keeps_both_tables)
 {
-    const auto first = apply_view(three_services(), sample::view(2, 9));
+    const auto first = with(three_services(), sample::view(2, 9));
     service_view renewed = sample::view(2, 9);
     renewed.members[0].sequence = 2;
-    const auto second = apply_view(first, renewed);
+    const auto second = with(first, renewed);
     EXPECT_NE(second, first);
     EXPECT_EQ(find(second, 2)->current, find(first, 2)->current);
     EXPECT_EQ(find(second, 2)->previous, find(first, 2)->previous);
-    EXPECT_EQ(apply_view(second, renewed), second);
+    EXPECT_EQ(with(second, renewed), second);
 }
 
 TEST(forwarding_set, ignores_views_and_removals_of_an_older_document)
 {
     service_view newer_view = sample::view(2, 2);
     newer_view.version = config_version(5);
-    const auto set = apply_view(three_services(), newer_view);
-    EXPECT_EQ(apply_view(set, sample::view(2, 9)), set);
-    EXPECT_EQ(remove_service(set, 2, 4), set);
-    const auto removed = remove_service(set, 2, 5);
+    const auto set = with(three_services(), newer_view);
+    EXPECT_EQ(with(set, sample::view(2, 9)), set);
+    EXPECT_EQ(without(set, 2, 4), set);
+    const auto removed = without(set, 2, 5);
     EXPECT_EQ(find(removed, 2), nullptr);
-    EXPECT_EQ(removed->digest(),
-              remove_service(three_services(), 2, 5)->digest());
-    EXPECT_EQ(apply_view(removed, newer_view), removed);
+    EXPECT_EQ(removed->digest(), without(three_services(), 2, 5)->digest());
+    EXPECT_EQ(with(removed, newer_view), removed);
     newer_view.version = config_version(6);
-    EXPECT_NE(find(apply_view(removed, newer_view), 2), nullptr);
+    EXPECT_NE(find(with(removed, newer_view), 2), nullptr);
 }
 
 TEST(forwarding_set, ignores_a_late_view_after_the_removal_of_its_service)
 {
-    const auto removed = remove_service(forwarding_set::empty(), 1, 3);
-    EXPECT_EQ(find(apply_view(removed, sample::view(1, 3)), 1), nullptr);
-    EXPECT_EQ(remove_service(removed, 1, 3), removed);
+    const auto removed = without(forwarding_set::empty(), 1, 3);
+    EXPECT_EQ(find(with(removed, sample::view(1, 3)), 1), nullptr);
+    EXPECT_EQ(without(removed, 1, 3), removed);
 }
 
 TEST(forwarding_set, ignores_older_records_of_an_upstream)
@@ -100,36 +99,35 @@
     service_view draining = sample::view(1, 3);
     draining.members[0].sequence = 7;
     draining.members[0].state = upstream_state::draining;
-    const auto set = apply_view(forwarding_set::empty(), draining);
-    EXPECT_EQ(apply_view(set, sample::view(1, 3)), set);
+    const auto set = with(forwarding_set::empty(), draining);
+    EXPECT_EQ(with(set, sample::view(1, 3)), set);
     // The upstream leaves; a late view still lists it as ready.
     service_view left = sample::view(1, 3);
     left.members.erase(left.members.begin());
-    const auto removed_member = apply_view(set, left);
-    EXPECT_EQ(apply_view(removed_member, sample::view(1, 3)), removed_member);
+    const auto removed_member = with(set, left);
+    EXPECT_EQ(with(removed_member, sample::view(1, 3)), removed_member);
     // The upstream returns apply_view a new incarnation.
     service_view returned = sample::view(1, 3);
     returned.members[0].started = incarnation(2);
-    EXPECT_EQ(find(apply_view(removed_member, returned), 1)->current->size(),
-              3U);
+    EXPECT_EQ(find(with(removed_member, returned), 1)->current->size(), 3U);
 }
 
 TEST(forwarding_set, keeps_a_bounded_number_of_departed_members)
 {
-    auto set = apply_view(forwarding_set::empty(), sample::view(1, 12));
+    auto set = with(forwarding_set::empty(), sample::view(1, 12));
     for (std::uint32_t round = 1; round < 20; ++round)
     {
         service_view next = sample::view(1, 12 * (round + 1));
         next.members.erase(next.members.begin(),
                            next.members.begin() + 12 * round);
-        set = apply_view(set, next);
+        set = with(set, next);
         ASSERT_LE(find(set, 1)->departed.size(), 12U);
     }
     // The members that left last are recorded, and their older records ignored.
     service_view late = *find(set, 1)->view;
     late.members.push_back(find(set, 1)->departed.back());
     --late.members.back().sequence;
-    EXPECT_EQ(apply_view(set, late), set);
+    EXPECT_EQ(with(set, late), set);
 }
 
 TEST(forwarding_set,
@@ -148,9 +146,9 @@
 TEST(forwarding_set, the_digest_is_independent_of_the_order_of_views)
 {
     const auto first = three_services();
-    auto second = apply_view(forwarding_set::empty(), sample::view(2, 4));
-    second = apply_view(second, sample::view(3, 5));
-    second = apply_view(second, sample::view(1, 3));
+    auto second = with(forwarding_set::empty(), sample::view(2, 4));
+    second = with(second, sample::view(3, 5));
+    second = with(second, sample::view(1, 3));
     EXPECT_EQ(first->digest(), second->digest());
     EXPECT_GT(first->memory(), sizeof(forwarding_set));
 }
@@ -184,9 +182,8 @@
 
 TEST(forwarding_set, distributes_flows_of_a_shared_address_by_weight)
 {
-    const auto set =
-        apply_view(apply_view(forwarding_set::empty(), shared_view(1, 1, 90)),
-                   shared_view(2, 1, 10));
+    const auto set = with(with(forwarding_set::empty(), shared_view(1, 1, 90)),
+                          shared_view(2, 1, 10));
     std::uint32_t second = 0;
     constexpr std::uint32_t flows = 10000;
     for (std::uint32_t i = 0; i < flows; ++i)
@@ -203,7 +200,7 @@
                                          shared_view(2, 1, 10)};
     const auto before =
         forwarding_set::changed(forwarding_set::empty(), both, {});
-    const auto after = apply_view(before, shared_view(2, 2, 30));
+    const auto after = with(before, shared_view(2, 2, 30));
     for (std::uint32_t i = 0; i < 1000; ++i)
     {
         const flow_key flow = flow_to_shared(i);
@@ -223,15 +220,14 @@
 
 TEST(forwarding_set, keeps_the_former_service_of_a_moved_address)
 {
-    auto set =
-        apply_view(apply_view(forwarding_set::empty(), shared_view(1, 1, 1)),
-                   shared_view(2, 1, 0));
+    auto set = with(with(forwarding_set::empty(), shared_view(1, 1, 1)),
+                    shared_view(2, 1, 0));
     const flow_key flow = flow_to_shared(1);
     EXPECT_EQ(set->tables_of(flow, stable_hash(flow)).former, nullptr);
     // The two views of one document change arrive one after the other.
-    set = apply_view(set, shared_view(1, 2, 0));
+    set = with(set, shared_view(1, 2, 0));
     EXPECT_EQ(set->tables_of(flow, stable_hash(flow)).chosen, nullptr);
-    set = apply_view(set, shared_view(2, 2, 1));
+    set = with(set, shared_view(2, 2, 1));
     const flow_tables found = set->tables_of(flow, stable_hash(flow));
     EXPECT_EQ(found.chosen->service, service_id(2));
     ASSERT_NE(found.former, nullptr);
