--- a/packages/balancer/include/crowlink/balancer.hpp
+++ b/packages/balancer/include/crowlink/balancer.hpp
@@ -1,18 +1,18 @@
 #pragma once
 
-// The balancer module: the decisions of an entry host, without I/O. The control
-// side keeps an immutable forwarding set up to date; each traffic thread routes
-// packets by the set that it is given. There is no state of flows.
+// The balancer module: the routing logic of an entry host, without I/O. The
+// control plane maintains an immutable forwarding set; each traffic thread
+// routes packets with the set passed to it. There is no per-flow state.
 //
-//   balancer.hpp          control side: changed views to a new set
-//   caller_answer.hpp     what is to be sent to a caller
-//   chain_cache.hpp       chains of services with many members, remembered
-//   route_decision.hpp    a decision as logs and `explain` show it
-//   route_drop.hpp        why a packet was not forwarded
-//   routed_packet.hpp     an encoded packet and the agent that it goes to
-//   traffic_counts.hpp    what a traffic thread counted
-//   traffic_path.hpp      traffic side: packets to agents, answers to callers
-//   views_changed.hpp     the event of the control side
+//   balancer.hpp          control plane: builds a new set from changed views
+//   caller_answer.hpp     an answer or notice to send to a caller
+//   chain_cache.hpp       caches chains of services with many members
+//   route_decision.hpp    a routing decision, for logs and `explain`
+//   route_drop.hpp        the reason why a packet was not forwarded
+//   routed_packet.hpp     an encoded packet and its destination agent
+//   traffic_counts.hpp    the counters of a traffic thread
+//   traffic_path.hpp      data plane: packets to agents, answers to callers
+//   views_changed.hpp     the input of the control plane
 
 #include "crowlink/balancer/balancer.hpp"
 #include "crowlink/balancer/caller_answer.hpp"
--- a/packages/balancer/include/crowlink/balancer/balancer.hpp
+++ b/packages/balancer/include/crowlink/balancer/balancer.hpp
@@ -9,14 +9,14 @@
 namespace crowlink
 {
 
-// The control side of a balancer: it owns the newest forwarding set.
+// The control plane of a balancer: owns the current forwarding set.
 class balancer
 {
 public:
     balancer();
 
-    // Takes in changed views. Yields the set that traffic threads are to use
-    // from now on, or null if nothing changed.
+    // Applies changed views. Returns the set that traffic threads use from now
+    // on, or null if nothing changed.
     std::shared_ptr<const forwarding_set> handle(time_point now,
                                                  const views_changed& event);
 
--- a/packages/balancer/include/crowlink/balancer/caller_answer.hpp
+++ b/packages/balancer/include/crowlink/balancer/caller_answer.hpp
@@ -8,7 +8,7 @@
 namespace crowlink
 {
 
-// What an agent has for a caller: an upstream's answer, or a notice that the
+// An agent's message for a caller: an upstream's answer, or a notice that the
 // flow was refused or ended.
 using caller_answer = std::variant<answer_datagram, notice_datagram>;
 
--- a/packages/balancer/include/crowlink/balancer/chain_cache.hpp
+++ b/packages/balancer/include/crowlink/balancer/chain_cache.hpp
@@ -10,21 +10,23 @@
 namespace crowlink
 {
 
-// Remembers chains of services with many members, whose computation takes time
-// in proportion to them. An entry is a pure function of its key, the table's
-// digest and the flow's hash: losing or never having one changes no decision.
-// Of two flows that share an entry the later one replaces the earlier one.
+// A direct-mapped cache for the chains of services with many members, since
+// computing a chain takes time proportional to their number. An entry is a pure
+// function of its key (the table's digest and the flow's hash), so that a cache
+// miss changes no decision. When two flows map to the same entry, the later one
+// replaces the earlier one.
 class chain_cache
 {
 public:
-    // Tables of at most this many members are quicker to compute than to look
-    // up: docs/design/forwarding.md.
-    static constexpr std::size_t computed_limit = 24;
+    // For tables of at most this many members, computing a chain is faster than
+    // a cache look-up: docs/design/forwarding.md.
+    static constexpr std::size_t max_uncached_members = 24;
 
-    // The capacity is rounded up to a power of two; zero turns the cache off.
+    // The capacity is a number of entries, rounded up to a power of two; zero
+    // disables the cache.
     explicit chain_cache(std::size_t capacity);
 
-    // The same as the table's own chain. Does not allocate.
+    // Returns the same chain as `table.chain`. Does not allocate.
     candidate_chain chain(const forwarding_table& table,
                           std::uint64_t flow_hash);
 
--- a/packages/balancer/include/crowlink/balancer/route_decision.hpp
+++ b/packages/balancer/include/crowlink/balancer/route_decision.hpp
@@ -12,31 +12,32 @@
 
 class log_line;
 
-// Why a flow's packets go where they go.
+// The reason for a routing decision.
 enum class route_reason : std::uint8_t
 {
-    // To the head of the current chain.
+    // Forwarded to the head of the current chain.
     head_of_chain,
-    // No upstream is ready now; to the head of the chain by the table before.
+    // Forwarded to the head of the previous table's chain, since no upstream is
+    // ready in the current one.
     previous_chain,
-    // Not forwarded: see route_drop.
+    // Not forwarded; see route_drop.
     no_service,
     no_candidate,
 };
 
 std::string_view to_string(route_reason reason);
 
-// A decision for one flow, as logs and `explain` show it.
+// The routing decision for one flow, for logs and `explain`.
 struct route_decision
 {
     flow_key flow;
-    // Zero without a service.
+    // Zero if no service has the address.
     service_id service;
-    // The digest of the table.
+    // The digest of the current table.
     std::uint64_t table = 0;
     candidate_chain current;
     candidate_chain previous;
-    // Where the packet goes; all zero if it is not forwarded.
+    // The destination of the packet; all zero if it is not forwarded.
     candidate chosen;
     route_reason reason = route_reason::no_service;
 
@@ -44,7 +45,7 @@
                            const route_decision&) = default;
 };
 
-// The log line of a decision.
+// Formats a decision as a log line.
 log_line to_log_line(const route_decision& decision);
 
 } // namespace crowlink
--- a/packages/balancer/include/crowlink/balancer/route_drop.hpp
+++ b/packages/balancer/include/crowlink/balancer/route_drop.hpp
@@ -7,14 +7,14 @@
 namespace crowlink
 {
 
-// Why a caller's packet was not forwarded.
+// The reason why a caller's packet was not forwarded.
 enum class route_drop : std::uint8_t
 {
     // No service has the address.
     no_service,
-    // No upstream of the service is ready, now or by the table before.
+    // No upstream of the service is ready in the current or previous table.
     no_candidate,
-    // The encoded packet does not fit the buffer.
+    // The encoded packet does not fit into the buffer.
     too_large,
 };
 
--- a/packages/balancer/include/crowlink/balancer/routed_packet.hpp
+++ b/packages/balancer/include/crowlink/balancer/routed_packet.hpp
@@ -8,12 +8,12 @@
 namespace crowlink
 {
 
-// A packet that was encoded into the caller's buffer.
+// A packet encoded into the buffer passed to `traffic_path::route`.
 struct routed_packet
 {
-    // The agent that it goes to.
+    // The address of the agent to send the packet to.
     endpoint destination;
-    // The bytes of the buffer to send.
+    // The size of the encoded packet, in bytes.
     std::size_t size = 0;
 
     friend auto operator<=>(const routed_packet&,
--- a/packages/balancer/include/crowlink/balancer/traffic_counts.hpp
+++ b/packages/balancer/include/crowlink/balancer/traffic_counts.hpp
@@ -12,25 +12,25 @@
 
 class metrics;
 
-// What one traffic thread counted since its start.
+// The counters of one traffic thread since its start.
 struct traffic_counts
 {
     std::uint64_t forwarded = 0;
     std::uint64_t forwarded_bytes = 0;
     std::uint64_t answers = 0;
     std::uint64_t notices = 0;
-    // Datagrams that an agent has no reason to send to a balancer.
+    // Datagrams of types that are not valid from an agent to a balancer.
     std::uint64_t misdirected = 0;
-    // By route_drop.
+    // Indexed by route_drop.
     std::array<std::uint64_t, route_drop_count> route_drops{};
-    // By datagram_drop.
+    // Indexed by datagram_drop.
     std::array<std::uint64_t, datagram_drop_count> datagram_drops{};
 
     friend auto operator<=>(const traffic_counts&,
                             const traffic_counts&) = default;
 };
 
-// Adds the counts to the counters named crowlink_balancer_*.
+// Adds the counts to the metrics named crowlink_balancer_*.
 void add_to(metrics& target, const traffic_counts& counts);
 
 } // namespace crowlink
--- a/packages/balancer/include/crowlink/balancer/traffic_path.hpp
+++ b/packages/balancer/include/crowlink/balancer/traffic_path.hpp
@@ -18,26 +18,28 @@
 namespace crowlink
 {
 
-// What one traffic thread of a balancer decides. Beyond its counts it keeps a
-// cache of chains, which no decision depends on; each thread has its own. It
-// does not allocate after its construction.
+// The data plane of one traffic thread of a balancer. Besides its counters it
+// holds a cache of chains, which does not affect decisions; each thread has its
+// own instance. It does not allocate after construction.
 class traffic_path
 {
 public:
-    // Entries of 32 bytes; enough for the busy flows of a thread.
+    // Number of cache entries of 32 bytes; covers the busy flows of a thread.
     static constexpr std::size_t default_cached_chains = 16384;
 
-    // Agents send answers for callers to `return_to`, a socket of this host.
+    // `return_to` is the address of a socket of this host, to which agents send
+    // answers for callers. `cached_chains` is the capacity of the chain cache.
     traffic_path(const key_ring& keys, const endpoint& return_to,
                  std::size_t cached_chains = default_cached_chains);
 
-    // Encodes a caller's packet into the buffer for the head of its chain.
+    // Encodes a caller's packet into the buffer, addressed to the head of its
+    // chain.
     tl::expected<routed_packet, route_drop>
     route(const forwarding_set& set, const caller_packet& packet,
           std::span<std::uint8_t> buffer);
 
-    // Reads what an agent sent; empty if it was dropped and counted. Payloads
-    // are views into the bytes.
+    // Decodes a datagram from an agent. A datagram that is not for a caller is
+    // counted and dropped, and the result is empty. Payloads refer to `bytes`.
     std::optional<caller_answer> answer(std::span<const std::uint8_t> bytes);
 
     const traffic_counts& counts() const { return m_counts; }
@@ -51,7 +53,7 @@
     traffic_counts m_counts;
 };
 
-// The decision that `route` takes for a flow by this set, for logs and for
+// The decision that `route` makes for a flow with this set, for logs and for
 // `explain`.
 route_decision explain(const forwarding_set& set, const flow_key& flow);
 
--- a/packages/balancer/include/crowlink/balancer/views_changed.hpp
+++ b/packages/balancer/include/crowlink/balancer/views_changed.hpp
@@ -9,8 +9,8 @@
 namespace crowlink
 {
 
-// What the node learned of services: new views, and services that are no
-// longer declared.
+// An update of a node's services: new views, and services that are no longer
+// declared.
 struct views_changed
 {
     std::vector<service_view> views;
--- a/packages/balancer/src/chain_cache.cpp
+++ b/packages/balancer/src/chain_cache.cpp
@@ -13,19 +13,19 @@
 candidate_chain chain_cache::chain(const forwarding_table& table,
                                    std::uint64_t flow_hash)
 {
-    if (table.size() <= computed_limit || m_entries.empty())
+    if (table.size() <= max_uncached_members || m_entries.empty())
     {
         return table.chain(flow_hash);
     }
     const std::uint64_t digest = table.digest();
-    // The digest takes part, so that a flow's chains by two tables do not
-    // replace each other.
-    entry& found = m_entries[(flow_hash ^ digest) & (m_entries.size() - 1)];
-    if (found.flow != flow_hash || found.table != digest)
+    // The digest is part of the index, so that the chains of a flow in two
+    // tables do not evict each other.
+    entry& cached = m_entries[(flow_hash ^ digest) & (m_entries.size() - 1)];
+    if (cached.flow != flow_hash || cached.table != digest)
     {
-        found = entry{digest, flow_hash, table.order(flow_hash)};
+        cached = entry{digest, flow_hash, table.order(flow_hash)};
     }
-    return table.chain_of(found.order);
+    return table.chain_of(cached.order);
 }
 
 } // namespace crowlink
--- a/packages/balancer/src/route_decision.cpp
+++ b/packages/balancer/src/route_decision.cpp
@@ -21,7 +21,7 @@
     return text;
 }
 
-bool forwarded(route_reason reason)
+bool is_forwarded(route_reason reason)
 {
     return reason == route_reason::head_of_chain ||
            reason == route_reason::previous_chain;
@@ -47,15 +47,15 @@
 
 log_line to_log_line(const route_decision& decision)
 {
-    const bool sent = forwarded(decision.reason);
-    const log_level level = sent ? log_level::debug : log_level::warning;
+    const bool is_sent = is_forwarded(decision.reason);
+    const log_level level = is_sent ? log_level::debug : log_level::warning;
     return log_line(level, "route")
         .field("flow", decision.flow.to_string())
         .field("service", decision.service.value())
         .field("table", fmt::format("{:016x}", decision.table))
         .field("chain", to_string(decision.current))
         .field("previous", to_string(decision.previous))
-        .field("chosen", sent ? decision.chosen.agent.to_string() : "")
+        .field("chosen", is_sent ? decision.chosen.agent.to_string() : "")
         .field("reason", to_string(decision.reason));
 }
 
--- a/packages/balancer/src/traffic_counts.cpp
+++ b/packages/balancer/src/traffic_counts.cpp
@@ -11,15 +11,15 @@
 {
 
 template <class Reason, std::size_t Count>
-void add_drops(metrics& target, std::string_view side,
+void add_drops(metrics& target, std::string_view sender,
                const std::array<std::uint64_t, Count>& drops)
 {
     for (std::size_t i = 0; i < Count; ++i)
     {
         const auto reason = to_string(static_cast<Reason>(i));
-        target.count(
-            fmt::format("crowlink_balancer_{}_dropped_{}_total", side, reason),
-            drops[i]);
+        target.count(fmt::format("crowlink_balancer_{}_dropped_{}_total",
+                                 sender, reason),
+                     drops[i]);
     }
 }
 
--- a/packages/balancer/src/traffic_path.cpp
+++ b/packages/balancer/src/traffic_path.cpp
@@ -6,16 +6,17 @@
 namespace
 {
 
-// The chain by the table before, left empty where it would say the same as the
-// current one.
-candidate_chain unless_equal(const candidate_chain& previous,
-                             const candidate_chain& current)
+// The chain of the previous table, or an empty one if it equals the current
+// one.
+candidate_chain omit_if_equal(const candidate_chain& previous,
+                              const candidate_chain& current)
 {
     return previous == current ? candidate_chain() : previous;
 }
 
-// What a flow that is open may be found by: the chain of the service that it
-// went to before shares changed, or that of the table before.
+// The chain that may contain the owner of an open flow: that of the service
+// that the flow was assigned to before the shares changed, or else that of the
+// previous table.
 template <class Chains>
 candidate_chain former_chain(const flow_tables& tables, const Chains& chain_of,
                              const candidate_chain& current)
@@ -28,7 +29,7 @@
     {
         return candidate_chain();
     }
-    return unless_equal(chain_of(*tables.chosen->previous), current);
+    return omit_if_equal(chain_of(*tables.chosen->previous), current);
 }
 
 route_reason reason_of(const candidate_chain& current,
@@ -61,7 +62,7 @@
     {
         return drop(route_drop::no_service);
     }
-    // Made in one piece, since the chains are large to copy.
+    // Constructed in place, since copying the chains is expensive.
     forward_datagram out{
         packet_header{.service = tables->service,
                       .table = tables->current->digest(),
@@ -102,10 +103,10 @@
         ++m_counts.datagram_drops[static_cast<std::size_t>(value.error())];
         return std::nullopt;
     }
-    if (const auto* answered = std::get_if<answer_datagram>(&*value))
+    if (const auto* answer = std::get_if<answer_datagram>(&*value))
     {
         ++m_counts.answers;
-        return caller_answer(*answered);
+        return caller_answer(*answer);
     }
     if (const auto* notice = std::get_if<notice_datagram>(&*value))
     {
--- a/packages/balancer/test/counting_allocator.cpp
+++ b/packages/balancer/test/counting_allocator.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::uint64_t crowlink::allocations()
+std::uint64_t crowlink::allocation_count()
 {
     return count.load();
 }
--- a/packages/balancer/test/traffic_path_test.cpp
+++ b/packages/balancer/test/traffic_path_test.cpp
@@ -20,13 +20,13 @@
 
 constexpr std::uint64_t seed = 20261202;
 
-endpoint at(const std::string& text)
+endpoint parse_endpoint(const std::string& text)
 {
     return *endpoint::parse(text);
 }
 
-const endpoint service_address = at("192.0.2.1:53");
-const endpoint return_to = at("10.0.0.1:7001");
+const endpoint service_address = parse_endpoint("192.0.2.1:53");
+const endpoint return_to = parse_endpoint("10.0.0.1:7001");
 
 key_ring keys()
 {
@@ -46,7 +46,7 @@
         upstream_record record;
         record.id = upstream_id(fmt::format("u{}", i));
         record.service = value.declared.id;
-        record.agent = at(fmt::format("10.1.0.{}:7000", i + 1));
+        record.agent = parse_endpoint(fmt::format("10.1.0.{}:7000", i + 1));
         value.members.push_back(record);
     }
     return value;
@@ -54,23 +54,23 @@
 
 flow_key flow(std::uint32_t number)
 {
-    return flow_key{
-        at(fmt::format("203.0.113.{}:{}", number % 250 + 1, 10000 + number)),
-        service_address, transport::udp};
+    return flow_key{parse_endpoint(fmt::format(
+                        "203.0.113.{}:{}", number % 250 + 1, 10000 + number)),
+                    service_address, transport::udp};
 }
 
-// One balancer as its shell would hold it: control side and a traffic thread.
-class node
+// A balancer with its control plane and one traffic thread.
+class test_balancer
 {
 public:
-    node() : m_path(keys(), return_to) {}
+    test_balancer() : m_path(keys(), return_to) {}
 
-    void learn(const service_view& value)
+    void apply(const service_view& value)
     {
         m_control.handle(time_point(), views_changed{{value}, {}});
     }
 
-    // The header that an agent would see, and where the packet goes.
+    // Returns the header that the agent receives, and the packet's destination.
     std::pair<packet_header, endpoint> route(const flow_key& key)
     {
         const bytes payload{1, 2, 3};
@@ -91,25 +91,25 @@
     traffic_path m_path;
 };
 
-TEST(traffic_path, sprayed_packets_of_a_flow_get_one_chain)
+TEST(traffic_path, all_balancers_compute_the_same_chain_for_a_flow)
 {
     std::mt19937_64 random(seed);
-    std::vector<node> balancers(3);
-    for (node& balancer : balancers)
+    std::vector<test_balancer> balancers(3);
+    for (test_balancer& balancer : balancers)
     {
-        balancer.learn(view(1, 7));
+        balancer.apply(view(1, 7));
     }
     std::map<flow_key, candidate_chain> chains;
     for (int packet = 0; packet < 10000; ++packet)
     {
         if (packet == 5000)
         {
-            // One dies; another takes its place and learns the members from
-            // a view in another order.
+            // A balancer fails; its replacement receives the members in another
+            // order.
             balancers.erase(balancers.begin());
             service_view shuffled = view(1, 7);
             std::reverse(shuffled.members.begin(), shuffled.members.end());
-            balancers.emplace_back().learn(shuffled);
+            balancers.emplace_back().apply(shuffled);
         }
         const flow_key key = flow(random() % 500);
         const auto [header, to] =
@@ -123,7 +123,7 @@
     EXPECT_EQ(chains.size(), 500U);
 }
 
-bool names(const packet_header& header, const candidate& wanted)
+bool contains(const packet_header& header, const candidate& wanted)
 {
     const auto is_wanted = [&wanted](const candidate& next)
     {
@@ -135,35 +135,38 @@
                        is_wanted);
 }
 
-TEST(traffic_path, the_previous_chain_names_the_owner_after_an_uneven_change)
+TEST(
+    traffic_path,
+    the_previous_chain_contains_the_owner_while_balancers_have_different_tables)
 {
-    node behind;
-    node ahead;
-    behind.learn(view(1, 4));
-    ahead.learn(view(1, 4));
-    // Every member of the old table is replaced in the new one.
+    test_balancer outdated;
+    test_balancer updated;
+    outdated.apply(view(1, 4));
+    updated.apply(view(1, 4));
+    // The new table replaces every member of the old one.
     service_view changed = view(2, 8);
     changed.members.erase(changed.members.begin(), changed.members.begin() + 4);
-    ahead.learn(changed);
+    updated.apply(changed);
     for (std::uint32_t number = 0; number < 500; ++number)
     {
-        const packet_header old = behind.route(flow(number)).first;
-        const packet_header next = ahead.route(flow(number)).first;
+        const packet_header old = outdated.route(flow(number)).first;
+        const packet_header next = updated.route(flow(number)).first;
         ASSERT_NE(old.table, next.table);
-        ASSERT_FALSE(names(behind.route(flow(number)).first, next.current[0]));
+        ASSERT_FALSE(
+            contains(outdated.route(flow(number)).first, next.current[0]));
         ASSERT_EQ(next.previous, old.current);
-        ASSERT_TRUE(names(next, old.current[0]));
+        ASSERT_TRUE(contains(next, old.current[0]));
     }
 }
 
-TEST(traffic_path, without_a_ready_member_packets_go_by_the_table_before)
+TEST(traffic_path, uses_the_previous_table_when_no_member_is_ready)
 {
-    node balancer;
-    balancer.learn(view(1, 1));
+    test_balancer balancer;
+    balancer.apply(view(1, 1));
     service_view drained = view(1, 1);
     drained.members[0].sequence = 2;
     drained.members[0].state = upstream_state::draining;
-    balancer.learn(drained);
+    balancer.apply(drained);
     const auto [header, to] = balancer.route(flow(1));
     EXPECT_TRUE(header.current.empty());
     EXPECT_EQ(to, drained.members[0].agent);
@@ -171,9 +174,9 @@
               route_reason::previous_chain);
 }
 
-TEST(traffic_path, remembered_chains_are_those_of_the_tables)
+TEST(traffic_path, cached_chains_equal_those_of_the_tables)
 {
-    // A cache of few entries, many flows and two tables of a large service.
+    // Caches with few entries, many flows and two tables of a large service.
     balancer control;
     control.handle(time_point(), views_changed{{view(1, 60)}, {}});
     control.handle(time_point(), views_changed{{view(2, 50)}, {}});
@@ -195,22 +198,22 @@
     }
 }
 
-TEST(traffic_path, drops_are_typed_and_counted)
+TEST(traffic_path, counts_drops_by_reason)
 {
-    node balancer;
-    balancer.learn(view(1, 0));
+    test_balancer balancer;
+    balancer.apply(view(1, 0));
     bytes buffer(1000);
-    const auto route = [&](const flow_key& key, std::size_t room)
+    const auto route = [&](const flow_key& key, std::size_t size)
     {
         const caller_packet packet{key, packet_role::any, {}};
         return balancer.path().route(balancer.set(), packet,
-                                     std::span(buffer).first(room));
+                                     std::span(buffer).first(size));
     };
     flow_key other = flow(1);
     other.protocol = transport::tcp;
     EXPECT_EQ(route(other, 1000).error(), route_drop::no_service);
     EXPECT_EQ(route(flow(1), 1000).error(), route_drop::no_candidate);
-    balancer.learn(view(2, 1));
+    balancer.apply(view(2, 1));
     EXPECT_EQ(route(flow(1), 10).error(), route_drop::too_large);
     EXPECT_TRUE(route(flow(1), 1000).has_value());
     const auto& counts = balancer.path().counts();
@@ -224,9 +227,9 @@
         1U);
 }
 
-TEST(traffic_path, answers_and_notices_come_through_and_the_rest_is_counted)
+TEST(traffic_path, returns_answers_and_notices_and_counts_other_datagrams)
 {
-    node balancer;
+    test_balancer balancer;
     const datagram_codec codec(keys());
     bytes buffer(1000);
     const auto answer = [&](const datagram& value)
@@ -253,13 +256,13 @@
               1U);
 }
 
-TEST(traffic_path, the_hot_path_does_not_allocate)
+TEST(traffic_path, routing_and_decoding_do_not_allocate)
 {
-    node balancer;
+    test_balancer balancer;
     service_view weighted = view(1, 50);
     weighted.members[3].weight = 7;
-    balancer.learn(weighted);
-    balancer.learn(view(2, 8));
+    balancer.apply(weighted);
+    balancer.apply(view(2, 8));
     const datagram_codec codec(keys());
     const bytes payload(1200, std::uint8_t{1});
     bytes buffer(2000);
@@ -268,7 +271,7 @@
         codec.encode(answer_datagram{flow(1), payload}, from_agent));
     const flow_key key = flow(1);
     const datagram_port port;
-    const std::uint64_t before = allocations();
+    const std::uint64_t before = allocation_count();
     for (int i = 0; i < 100; ++i)
     {
         const auto packet =
@@ -279,16 +282,16 @@
         const auto answer = balancer.path().answer(from_agent);
         ASSERT_TRUE(header.has_value() && answer.has_value());
     }
-    EXPECT_EQ(allocations(), before);
-    const auto counted = std::make_unique<int>(1);
-    EXPECT_EQ(allocations(), before + 1);
+    EXPECT_EQ(allocation_count(), before);
+    const auto allocated = std::make_unique<int>(1);
+    EXPECT_EQ(allocation_count(), before + 1);
 }
 
-TEST(explain, says_what_route_does_and_why)
+TEST(explain, reports_the_destination_and_reason_of_route)
 {
-    node balancer;
-    balancer.learn(view(1, 5));
-    balancer.learn(view(2, 4));
+    test_balancer balancer;
+    balancer.apply(view(1, 5));
+    balancer.apply(view(2, 4));
     const auto [header, to] = balancer.route(flow(3));
     const route_decision decision = explain(balancer.set(), flow(3));
     EXPECT_EQ(decision.chosen.agent, to);
@@ -304,7 +307,7 @@
               route_reason::no_service);
 }
 
-TEST(balancer, yields_a_set_only_when_something_changed)
+TEST(balancer, returns_a_set_only_when_something_changed)
 {
     balancer control;
     const views_changed event{{view(3, 2)}, {}};
