--- a/bench/capacity/balancer_slopes.cpp
+++ b/bench/capacity/balancer_slopes.cpp
@@ -28,7 +28,7 @@
     {
         views.push_back(sample_view(service, members));
     }
-    return forwarding_set::changed(forwarding_set::empty(), views, {});
+    return forwarding_set::with_changes(forwarding_set::empty(), views, {});
 }
 
 // The cost of routing packets of different flows over all services.
--- a/bench/forwarding/path_bench.cpp
+++ b/bench/forwarding/path_bench.cpp
@@ -60,7 +60,7 @@
     {
         views.push_back(bench::view(i, sizes.members));
     }
-    return forwarding_set::changed(forwarding_set::empty(), views, {});
+    return forwarding_set::with_changes(forwarding_set::empty(), views, {});
 }
 
 // Every service has an earlier table that differs, as after a rolling restart
@@ -73,7 +73,7 @@
         views.push_back(bench::view(i, sizes.members));
         views.back().members[0].started = incarnation(2);
     }
-    return forwarding_set::changed(make_set(sizes), views, {});
+    return forwarding_set::with_changes(make_set(sizes), views, {});
 }
 
 caller_packet parse(const bytes& packet)
--- a/bench/forwarding/set_bench.cpp
+++ b/bench/forwarding/set_bench.cpp
@@ -51,7 +51,7 @@
     {
         const std::size_t before = heap_in_use();
         const auto set =
-            forwarding_set::changed(forwarding_set::empty(), views, {});
+            forwarding_set::with_changes(forwarding_set::empty(), views, {});
         heap = heap_in_use() - before;
         counted = set->memory();
     }
@@ -76,8 +76,9 @@
     for (auto _ : state)
     {
         const std::size_t before = heap_in_use();
-        auto set = forwarding_set::changed(forwarding_set::empty(), views, {});
-        set = forwarding_set::changed(set, changed, {});
+        auto set =
+            forwarding_set::with_changes(forwarding_set::empty(), views, {});
+        set = forwarding_set::with_changes(set, changed, {});
         heap = heap_in_use() - before;
     }
     state.counters["heap_bytes"] = double(heap);
@@ -87,13 +88,13 @@
 void change_of_one_member(benchmark::State& state)
 {
     const auto views = target_views();
-    auto set = forwarding_set::changed(forwarding_set::empty(), views, {});
+    auto set = forwarding_set::with_changes(forwarding_set::empty(), views, {});
     std::uint64_t start = 2;
     std::size_t next = 0;
     for (auto _ : state)
     {
         const auto view = restarted(views[next++ % views.size()], start++);
-        set = forwarding_set::changed(set, std::span(&view, 1), {});
+        set = forwarding_set::with_changes(set, std::span(&view, 1), {});
     }
 }
 BENCHMARK(change_of_one_member)->Unit(benchmark::kMicrosecond);
@@ -101,13 +102,13 @@
 // A new service: the index of addresses is made again.
 void change_of_addresses(benchmark::State& state)
 {
-    const auto set =
-        forwarding_set::changed(forwarding_set::empty(), target_views(), {});
+    const auto set = forwarding_set::with_changes(forwarding_set::empty(),
+                                                  target_views(), {});
     const auto added = bench::view(services, 3);
     for (auto _ : state)
     {
         benchmark::DoNotOptimize(
-            forwarding_set::changed(set, std::span(&added, 1), {}));
+            forwarding_set::with_changes(set, std::span(&added, 1), {}));
     }
 }
 BENCHMARK(change_of_addresses)->Unit(benchmark::kMicrosecond);
--- a/packages/balancer/src/balancer.cpp
+++ b/packages/balancer/src/balancer.cpp
@@ -8,7 +8,7 @@
 std::shared_ptr<const forwarding_set>
 balancer::handle(time_point /*now*/, const views_changed& event)
 {
-    auto next = forwarding_set::changed(m_set, event.views, event.removed);
+    auto next = forwarding_set::with_changes(m_set, event.views, event.removed);
     if (next == m_set)
     {
         return nullptr;
--- a/packages/daemon/src/control/status_view.cpp
+++ b/packages/daemon/src/control/status_view.cpp
@@ -152,7 +152,7 @@
     const service_view view = make_view(with, *declared);
     const std::vector<service_view> views{view};
     const auto set =
-        forwarding_set::changed(forwarding_set::empty(), views, {});
+        forwarding_set::with_changes(forwarding_set::empty(), views, {});
     const route_decision decision = explain(*set, flow);
     explain_answer answer;
     answer.flow = flow;
--- a/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
@@ -32,9 +32,9 @@
     // Returns `prior` with the changes applied, or `prior` itself if none has
     // an effect.
     static std::shared_ptr<const forwarding_set>
-    changed(const std::shared_ptr<const forwarding_set>& prior,
-            std::span<const service_view> views,
-            std::span<const removed_service> removed);
+    with_changes(const std::shared_ptr<const forwarding_set>& prior,
+                 std::span<const service_view> views,
+                 std::span<const removed_service> removed);
 
     // The tables of the service at an address, or null; the fast path for
     // packets. Does not allocate.
--- a/packages/forwarding/src/forwarding_set.cpp
+++ b/packages/forwarding/src/forwarding_set.cpp
@@ -69,9 +69,9 @@
 }
 
 std::shared_ptr<const forwarding_set>
-forwarding_set::changed(const std::shared_ptr<const forwarding_set>& prior,
-                        std::span<const service_view> views,
-                        std::span<const removed_service> removed)
+forwarding_set::with_changes(const std::shared_ptr<const forwarding_set>& prior,
+                             std::span<const service_view> views,
+                             std::span<const removed_service> removed)
 {
     const std::shared_ptr<forwarding_set> next(new forwarding_set(*prior));
     bool has_effect = false;
--- a/packages/forwarding/test/forwarding_set_test.cpp
+++ b/packages/forwarding/test/forwarding_set_test.cpp
@@ -13,14 +13,14 @@
 
 set_pointer with(const set_pointer& prior, const service_view& view)
 {
-    return forwarding_set::changed(prior, std::span(&view, 1), {});
+    return forwarding_set::with_changes(prior, std::span(&view, 1), {});
 }
 
 set_pointer without(const set_pointer& prior, std::uint32_t service,
                     std::uint64_t version)
 {
     const removed_service removal{service_id(service), config_version(version)};
-    return forwarding_set::changed(prior, {}, std::span(&removal, 1));
+    return forwarding_set::with_changes(prior, {}, std::span(&removal, 1));
 }
 
 const service_tables* find(const set_pointer& set, std::uint32_t service)
@@ -32,7 +32,7 @@
 {
     const std::vector<service_view> views{
         sample::view(3, 5), sample::view(1, 3), sample::view(2, 4)};
-    return forwarding_set::changed(forwarding_set::empty(), views, {});
+    return forwarding_set::with_changes(forwarding_set::empty(), views, {});
 }
 
 TEST(forwarding_set, finds_services_by_address_and_protocol)
@@ -139,7 +139,7 @@
     service_view old_owner = sample::view(1, 3);
     const std::vector<service_view> views{old_owner, new_owner};
     const auto set =
-        forwarding_set::changed(forwarding_set::empty(), views, {});
+        forwarding_set::with_changes(forwarding_set::empty(), views, {});
     EXPECT_EQ(find(set, 1)->service(), service_id(2));
 }
 
@@ -199,7 +199,7 @@
     const std::vector<service_view> both{shared_view(1, 1, 90),
                                          shared_view(2, 1, 10)};
     const auto before =
-        forwarding_set::changed(forwarding_set::empty(), both, {});
+        forwarding_set::with_changes(forwarding_set::empty(), both, {});
     const auto after = with(before, shared_view(2, 2, 30));
     for (std::uint32_t i = 0; i < 1000; ++i)
     {
