--- a/packages/document/include/crowlink/document.hpp
+++ b/packages/document/include/crowlink/document.hpp
@@ -1,17 +1,17 @@
 #pragma once
 
 // The document module: reads the operators' document, which is JSON with
-// comments, checks it against its schema and the rules across fields, writes it
-// back in one canonical form, and compares two documents.
+// comments, validates it against its schema and the cross-field rules, writes
+// it in canonical form, and compares two documents.
 //
-//   document_error.hpp       one broken rule: path, value found, rule
-//   document_errors.hpp      all the rules that a document breaks
+//   document_error.hpp       a violated rule: path, value found, rule
+//   document_errors.hpp      all rules that a document violates
 //   document_reader.hpp      text to system_document
 //   document_writer.hpp      system_document to canonical text
 //   document_schema.hpp      the JSON schema
-//   strict_json.hpp          JSON text to a value, as the reader parses it
-//   document_change.hpp      one place where two documents differ
-//   document_difference.hpp  all the places where two documents differ
+//   strict_json.hpp          JSON text to a value, with the reader's checks
+//   document_change.hpp      one difference between two documents
+//   document_difference.hpp  all differences between two documents
 
 #include "crowlink/document/document_change.hpp"
 #include "crowlink/document/document_difference.hpp"
--- a/packages/document/include/crowlink/document/document_change.hpp
+++ b/packages/document/include/crowlink/document/document_change.hpp
@@ -6,16 +6,16 @@
 namespace crowlink
 {
 
-// One place where two documents differ.
+// One difference between two documents.
 struct document_change
 {
-    // A JSON pointer in which an element of a list is named by its identity
-    // and not by its position: a service and its fields by the service's id, a
-    // region, place, kind, address or drain by its text. "/services/1/limits".
+    // A JSON pointer in which a list element is identified by its key instead
+    // of its index: a service by its id; a region, data centre, kind, address
+    // or drain by its string. Example: "/services/1/limits".
     std::string path;
-    // Compact JSON; empty where the value is added.
+    // Compact JSON; empty if the value is added.
     std::string before;
-    // Compact JSON; empty where the value is removed.
+    // Compact JSON; empty if the value is removed.
     std::string after;
 
     friend auto operator<=>(const document_change&,
--- a/packages/document/include/crowlink/document/document_difference.hpp
+++ b/packages/document/include/crowlink/document/document_difference.hpp
@@ -12,7 +12,7 @@
 
 struct system_document;
 
-// The places where two documents differ, sorted by path.
+// The differences between two documents, sorted by path.
 class document_difference
 {
 public:
@@ -22,10 +22,10 @@
     bool empty() const { return m_changes.empty(); }
     const std::vector<document_change>& changes() const { return m_changes; }
 
-    // One line a change: "~ path: before -> after", "+ path: after" or
+    // One line per change: "~ path: before -> after", "+ path: after" or
     // "- path: before". Empty for equal documents.
     std::string to_text() const;
-    // [{"path":...,"before":...,"after":...}]; null stands for absence.
+    // [{"path":...,"before":...,"after":...}]; null represents an absent value.
     std::string to_json() const;
 
     friend auto operator<=>(const document_difference&,
@@ -35,8 +35,7 @@
     std::vector<document_change> m_changes;
 };
 
-// What has to change to get from one document to the other. The order of lists
-// is no difference.
+// The changes that turn `before` into `after`. The order of lists is ignored.
 document_difference compare(const system_document& before,
                             const system_document& after);
 
--- a/packages/document/include/crowlink/document/document_error.hpp
+++ b/packages/document/include/crowlink/document/document_error.hpp
@@ -6,17 +6,18 @@
 namespace crowlink
 {
 
-// One rule that a document breaks.
+// A rule that a document violates.
 struct document_error
 {
     // JSON pointer (RFC 6901) to the value; empty for the document itself.
     std::string path;
-    // The value found as compact JSON, cut to a bounded length.
+    // The value found, as compact JSON truncated to a bounded length.
     std::string found;
-    // What is allowed.
+    // The values that the rule allows.
     std::string rule;
 
-    // "/services/0/candidates: found 9, must be a whole number from 1 to 4".
+    // Example: "/services/0/candidates: found 9, must be a whole number from 1
+    // to 4".
     std::string to_string() const;
 
     friend auto operator<=>(const document_error&,
--- a/packages/document/include/crowlink/document/document_errors.hpp
+++ b/packages/document/include/crowlink/document/document_errors.hpp
@@ -11,8 +11,8 @@
 namespace crowlink
 {
 
-// The rules that a document breaks, sorted by path. At most `capacity` are
-// kept; the number of those left out is counted.
+// The rules that a document violates, sorted by path. At most `capacity` are
+// kept; the number of omitted ones is counted.
 class document_errors
 {
 public:
@@ -25,7 +25,7 @@
     const std::vector<document_error>& items() const { return m_items; }
     std::size_t left_out() const { return m_left_out; }
 
-    // One line an error.
+    // One line per error.
     std::string to_text() const;
     // {"errors":[{"path":...,"found":...,"rule":...}],"left_out":0}
     std::string to_json() const;
--- a/packages/document/include/crowlink/document/document_schema.hpp
+++ b/packages/document/include/crowlink/document/document_schema.hpp
@@ -5,7 +5,7 @@
 namespace crowlink
 {
 
-// The JSON schema (draft 7) of the operators' document, as committed in
+// The JSON schema (draft 7) of the operators' document: the content of
 // schema/document.schema.json.
 std::string_view document_schema();
 
--- a/packages/document/include/crowlink/document/strict_json.hpp
+++ b/packages/document/include/crowlink/document/strict_json.hpp
@@ -9,8 +9,9 @@
 namespace crowlink
 {
 
-// Parses JSON with comments. Refuses what a parser would silently change or
-// choke on: fields given twice, and nesting deeper than 16.
+// Parses JSON with comments. Rejects duplicate fields, of which a parser
+// silently drops all but one, and nesting deeper than 16, which may exhaust the
+// stack.
 tl::expected<nlohmann::json, document_error>
 parse_strict_json(std::string_view text);
 
--- a/packages/document/src/cross_rules.cpp
+++ b/packages/document/src/cross_field_rules.cpp
@@ -1,4 +1,4 @@
-#include "cross_rules.hpp"
+#include "cross_field_rules.hpp"
 
 #include "crowlink/base/endpoint.hpp"
 #include "crowlink/model/target_limits.hpp"
@@ -18,29 +18,31 @@
 {
 
 using nlohmann::json;
-using errors_type = std::vector<document_error>;
+using error_list = std::vector<document_error>;
 
-// A value and the path to it.
-struct located
+// A value and its path.
+struct located_value
 {
     const json& value;
     std::string path;
 };
 
-// A field of an object, if both are there.
-std::optional<located> field(const located& object, const char* name)
+// A field of an object; empty if the value is no object or lacks the field.
+std::optional<located_value> field(const located_value& object,
+                                   const char* name)
 {
     if (!object.value.is_object() || !object.value.contains(name))
     {
         return std::nullopt;
     }
-    return located{object.value.at(name), child_path(object.path, name)};
+    return located_value{object.value.at(name), child_path(object.path, name)};
 }
 
-// The elements of a field that is a list; none of any other value.
-std::vector<located> elements(const located& object, const char* name)
+// The elements of a list field; empty if the field is absent or no list.
+std::vector<located_value> elements(const located_value& object,
+                                    const char* name)
 {
-    std::vector<located> items;
+    std::vector<located_value> items;
     const auto list = field(object, name);
     if (!list || !list->value.is_array())
     {
@@ -55,16 +57,19 @@
     return items;
 }
 
-// The keys seen so far in one scope, and where.
+// The keys found so far in a scope in which they must be unique, with their
+// paths.
 class unique_scope
 {
 public:
     explicit unique_scope(std::string scope) : m_scope(std::move(scope)) {}
 
-    void add(const located& item, const std::string& key, errors_type& errors)
+    void add(const located_value& item, const std::string& key,
+             error_list& errors)
     {
-        const auto [entry, fresh] = m_seen.try_emplace(key, item.path);
-        if (!fresh)
+        const auto [entry, inserted] =
+            m_path_of_key.try_emplace(key, item.path);
+        if (!inserted)
         {
             errors.push_back(
                 {item.path, describe(item.value),
@@ -72,8 +77,8 @@
         }
     }
 
-    // Adds a value as its own key, if it is of a kind that can be one.
-    void add(const std::optional<located>& item, errors_type& errors)
+    // Adds a value as its own key, if it is a string or a number.
+    void add(const std::optional<located_value>& item, error_list& errors)
     {
         if (item && (item->value.is_string() || item->value.is_number()))
         {
@@ -83,10 +88,10 @@
 
 private:
     std::string m_scope;
-    std::map<std::string, std::string> m_seen;
+    std::map<std::string, std::string> m_path_of_key;
 };
 
-void check_regions(const located& root, errors_type& errors)
+void check_regions(const located_value& root, error_list& errors)
 {
     unique_scope names("over the regions");
     unique_scope places("over all places");
@@ -99,9 +104,9 @@
         }
     }
     const auto regions = field(root, "regions");
-    const bool no_region =
+    const bool has_no_region =
         regions && regions->value.is_array() && regions->value.empty();
-    if (no_region && !elements(root, "services").empty())
+    if (has_no_region && !elements(root, "services").empty())
     {
         errors.push_back({regions->path, describe(regions->value),
                           "at least one region where services are declared"});
@@ -115,9 +120,9 @@
                ip_address::from_v4(std::array<std::uint8_t, 4>{0, 0, 0, 0});
 }
 
-// The prefix sets apart scopes in which one address may stand again.
-void check_address(const located& item, const std::string& prefix,
-                   unique_scope& addresses, errors_type& errors)
+// `prefix` separates scopes, such as protocols, that may use the same address.
+void check_address(const located_value& item, const std::string& prefix,
+                   unique_scope& addresses, error_list& errors)
 {
     if (!item.value.is_string())
     {
@@ -135,8 +140,8 @@
     addresses.add(item, prefix + parsed->to_string(), errors);
 }
 
-void check_addresses(const located& service, unique_scope& addresses,
-                     errors_type& errors)
+void check_addresses(const located_value& service, unique_scope& addresses,
+                     error_list& errors)
 {
     const auto protocol = field(service, "protocol");
     const auto prefix = protocol ? protocol->value.dump() : std::string();
@@ -146,14 +151,16 @@
     }
 }
 
-// A limit, its default where it is absent, nothing where it is no number.
-std::optional<std::uint64_t> limit(const located& limits, const char* name,
-                                   std::uint64_t otherwise)
+// The value of a limit: the default if it is absent, empty if it is no unsigned
+// number.
+std::optional<std::uint64_t> limit(const located_value& limits,
+                                   const char* name,
+                                   std::uint64_t default_value)
 {
     const auto value = field(limits, name);
     if (!value)
     {
-        return otherwise;
+        return default_value;
     }
     if (!value->value.is_number_unsigned())
     {
@@ -162,7 +169,7 @@
     return value->value.get<std::uint64_t>();
 }
 
-void check_limits(const located& service, errors_type& errors)
+void check_limits(const located_value& service, error_list& errors)
 {
     const auto limits = field(service, "limits");
     if (!limits || !limits->value.is_object())
@@ -181,15 +188,15 @@
     }
 }
 
-void check_milliseconds(const std::optional<located>& seconds,
-                        errors_type& errors)
+void check_milliseconds(const std::optional<located_value>& seconds,
+                        error_list& errors)
 {
     if (!seconds || !seconds->value.is_number_float())
     {
         return;
     }
     constexpr double milliseconds_per_second = 1000;
-    // Decimal fractions are not exact in binary.
+    // Decimal fractions have no exact binary representation.
     constexpr double tolerance = 1e-6;
     const double value = seconds->value.get<double>() * milliseconds_per_second;
     if (std::abs(value - std::round(value)) > tolerance)
@@ -199,7 +206,7 @@
     }
 }
 
-void check_services(const located& root, errors_type& errors)
+void check_services(const located_value& root, error_list& errors)
 {
     unique_scope ids("over the services");
     unique_scope names("over the services");
@@ -220,7 +227,7 @@
     }
 }
 
-std::set<std::string> declared_ids(const located& root)
+std::set<std::string> declared_ids(const located_value& root)
 {
     std::set<std::string> ids;
     for (const auto& service : elements(root, "services"))
@@ -233,8 +240,8 @@
     return ids;
 }
 
-void check_shares(const located& route, const std::set<std::string>& ids,
-                  errors_type& errors)
+void check_shares(const located_value& route, const std::set<std::string>& ids,
+                  error_list& errors)
 {
     unique_scope services("over the shares of one route");
     for (const auto& share : elements(route, "shares"))
@@ -249,9 +256,9 @@
     }
 }
 
-// Whether a service has the address is not asked: a document may move an
-// address from the one list to the other.
-void check_routes(const located& root, errors_type& errors)
+// A route may have the same address as a service, since a document may move an
+// address from one list to the other.
+void check_routes(const located_value& root, error_list& errors)
 {
     const auto ids = declared_ids(root);
     unique_scope addresses("over the routes");
@@ -269,7 +276,7 @@
     }
 }
 
-void check_drains(const located& root, errors_type& errors)
+void check_drains(const located_value& root, error_list& errors)
 {
     unique_scope drains("over the drains");
     for (const auto& drain : elements(root, "drains"))
@@ -280,10 +287,10 @@
 
 } // namespace
 
-std::vector<document_error> check_cross_rules(const json& value)
+std::vector<document_error> check_cross_field_rules(const json& value)
 {
-    errors_type errors;
-    const located root{value, ""};
+    error_list errors;
+    const located_value root{value, ""};
     check_regions(root, errors);
     check_services(root, errors);
     check_routes(root, errors);
--- a/packages/document/src/difference.cpp
+++ b/packages/document/src/difference.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-json keyed_texts(const json& list)
+json strings_by_value(const json& list)
 {
     auto object = json::object();
     for (const auto& item : list)
@@ -23,57 +23,59 @@
     return object;
 }
 
-// A list of objects as an object, by the field that identifies an element.
-json keyed_objects(const json& list, const char* identity)
+// Converts a list of objects to an object to_keyed_json by the identifying
+// field.
+json objects_by_key(const json& list, const char* key_field)
 {
     auto object = json::object();
     for (auto item : list)
     {
-        const json key = item.at(identity);
-        item.erase(identity);
+        const json key = item.at(key_field);
+        item.erase(key_field);
         object[key.is_string() ? key.get<std::string>() : key.dump()] = item;
     }
     return object;
 }
 
-// The document with each list turned into an object, so that a pointer names
-// an element by its identity.
-json keyed(const system_document& document)
+// The document as JSON with declared_route list converted to an object, so that
+// a JSON pointer refers to an element by its key.
+json to_keyed_json(const system_document& document)
 {
     json value = internal::to_json(document);
     for (auto& region : value.at("regions"))
     {
-        region["places"] = keyed_texts(region.at("places"));
+        region["places"] = strings_by_value(region.at("places"));
     }
     for (auto& declared : value.at("services"))
     {
-        declared["addresses"] = keyed_texts(declared.at("addresses"));
-        declared["kinds"] = keyed_objects(declared.at("kinds"), "name");
+        declared["addresses"] = strings_by_value(declared.at("addresses"));
+        declared["kinds"] = objects_by_key(declared.at("kinds"), "name");
     }
-    value["regions"] = keyed_objects(value.at("regions"), "name");
-    value["services"] = keyed_objects(value.at("services"), "id");
-    for (auto& each : value.at("routes"))
+    value["regions"] = objects_by_key(value.at("regions"), "name");
+    value["services"] = objects_by_key(value.at("services"), "id");
+    for (auto& declared_route : value.at("routes"))
     {
-        each["shares"] = keyed_objects(each.at("shares"), "service");
+        declared_route["shares"] =
+            objects_by_key(declared_route.at("shares"), "service");
     }
-    value["routes"] = keyed_objects(value.at("routes"), "address");
-    // The source says in other words what the rest says.
+    value["routes"] = objects_by_key(value.at("routes"), "address");
+    // The source is another form of the same content.
     value.erase("source");
-    value["drains"] = keyed_texts(value.at("drains"));
+    value["drains"] = strings_by_value(value.at("drains"));
     return value;
 }
 
-document_change to_change(const json& step, const json& before)
+document_change to_change(const json& operation, const json& before)
 {
-    const auto path = step.at("path").get<std::string>();
+    const auto path = operation.at("path").get<std::string>();
     document_change change{path, "", ""};
-    if (step.at("op") != "add")
+    if (operation.at("op") != "add")
     {
         change.before = before.at(json::json_pointer(path)).dump();
     }
-    if (step.at("op") != "remove")
+    if (operation.at("op") != "remove")
     {
-        change.after = step.at("value").dump();
+        change.after = operation.at("value").dump();
     }
     return change;
 }
@@ -137,11 +139,11 @@
 document_difference compare(const system_document& before,
                             const system_document& after)
 {
-    const json old_value = keyed(before);
+    const json old_value = to_keyed_json(before);
     std::vector<document_change> changes;
-    for (const auto& step : json::diff(old_value, keyed(after)))
+    for (const auto& operation : json::diff(old_value, to_keyed_json(after)))
     {
-        changes.push_back(to_change(step, old_value));
+        changes.push_back(to_change(operation, old_value));
     }
     return document_difference(std::move(changes));
 }
--- a/packages/document/src/document_json.cpp
+++ b/packages/document/src/document_json.cpp
@@ -15,18 +15,19 @@
 
 constexpr std::int64_t milliseconds_per_second = 1000;
 
-duration to_duration(const json& object, const char* name, duration otherwise)
+duration to_duration(const json& object, const char* name,
+                     duration default_value)
 {
     const auto found = object.find(name);
     if (found == object.end())
     {
-        return otherwise;
+        return default_value;
     }
     const double value = found->get<double>() * milliseconds_per_second;
     return milliseconds(std::llround(value));
 }
 
-// Whole seconds as an integer, anything else as a decimal fraction.
+// Returns whole seconds as an integer, other durations as a decimal fraction.
 ordered_json to_seconds(duration value)
 {
     const auto count = std::chrono::duration_cast<milliseconds>(value).count();
@@ -128,23 +129,23 @@
 
 route to_route(const json& value)
 {
-    route made;
-    made.name = value.at("name").get<std::string>();
-    made.address =
+    route parsed;
+    parsed.name = value.at("name").get<std::string>();
+    parsed.address =
         endpoint::parse(value.at("address").get_ref<const std::string&>())
             .value();
-    made.requests = to_class(value.value("requests", std::string("safe")));
-    made.timeout = to_duration(value, "timeout_s", made.timeout);
-    made.aim = to_duration(value, "aim_s", made.aim);
-    made.priority = value.value("priority", made.priority);
+    parsed.requests = to_class(value.value("requests", std::string("safe")));
+    parsed.timeout = to_duration(value, "timeout_s", parsed.timeout);
+    parsed.aim = to_duration(value, "aim_s", parsed.aim);
+    parsed.priority = value.value("priority", parsed.priority);
     for (const auto& item : value.at("shares"))
     {
         route_share share;
         share.service = service_id(item.at("service").get<std::uint32_t>());
         share.weight = item.value("weight", share.weight);
-        made.shares.push_back(share);
+        parsed.shares.push_back(share);
     }
-    return made;
+    return parsed;
 }
 
 ordered_json route_json(const route& value)
@@ -208,7 +209,7 @@
             {"kinds", kinds}};
 }
 
-// Groups places, which are sorted by region, into their regions.
+// Groups data centres by region; the input is sorted by region.
 ordered_json regions_json(const std::vector<place>& places)
 {
     auto regions = ordered_json::array();
@@ -225,8 +226,8 @@
     return regions;
 }
 
-// These compare plain representations: the linter takes the zero inside a
-// defaulted three-way comparison for a null pointer.
+// These functions compare the underlying values, since the linter reports the
+// zero in a defaulted three-way comparison as a null pointer.
 bool region_before(const place& first, const place& second)
 {
     return std::tie(first.region.value(), first.id.value()) <
--- a/packages/document/src/document_json.hpp
+++ b/packages/document/src/document_json.hpp
@@ -7,13 +7,13 @@
 namespace crowlink::internal
 {
 
-// Fields in the order in which people read them.
+// Keeps the order in which fields are added.
 using ordered_json = nlohmann::ordered_json;
 
-// The canonical order of lists; see read_document.
+// Returns the document with its lists in canonical order; see read_document.
 system_document sorted(system_document document);
 
-// A JSON value that keeps the schema and the rules across fields.
+// Converts a JSON value that satisfies the schema and the cross-field rules.
 system_document from_json(const nlohmann::json& value);
 
 ordered_json to_json(const system_document& document);
--- a/packages/document/src/json_text.cpp
+++ b/packages/document/src/json_text.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr std::size_t max_description = 100;
+constexpr std::size_t max_description_bytes = 100;
 
-// Cuts a UTF-8 text without splitting a character.
-std::string cut(std::string text)
+// Truncates a UTF-8 string without splitting a character.
+std::string truncate(std::string text)
 {
-    if (text.size() <= max_description)
+    if (text.size() <= max_description_bytes)
     {
         return text;
     }
-    std::size_t end = max_description;
+    std::size_t end = max_description_bytes;
     constexpr unsigned continuation_mask = 0xc0;
     constexpr unsigned continuation = 0x80;
     while (end > 0 && (static_cast<unsigned char>(text[end]) &
@@ -41,25 +41,25 @@
     {
         return fmt::format("a list of {}", value.size());
     }
-    return cut(value.dump());
+    return truncate(value.dump());
 }
 
 std::string child_path(const std::string& parent, std::string_view token)
 {
     std::string path = parent + "/";
-    for (const char letter : token)
+    for (const char character : token)
     {
-        if (letter == '~')
+        if (character == '~')
         {
             path += "~0";
         }
-        else if (letter == '/')
+        else if (character == '/')
         {
             path += "~1";
         }
         else
         {
-            path += letter;
+            path += character;
         }
     }
     return path;
--- a/packages/document/src/json_text.hpp
+++ b/packages/document/src/json_text.hpp
@@ -7,11 +7,12 @@
 namespace crowlink::internal
 {
 
-// A description of a value for an error: a scalar as JSON, cut to a bounded
-// length; of a container only its kind and size, since it may be large.
+// Describes a value in an error: a scalar as JSON truncated to a bounded
+// length, a container by its type and size only, since it may be large.
 std::string describe(const nlohmann::json& value);
 
-// The path of a child: a JSON pointer with one more token, escaped.
+// The path of a child: the parent's JSON pointer with an escaped token
+// appended.
 std::string child_path(const std::string& parent, std::string_view token);
 
 } // namespace crowlink::internal
--- a/packages/document/src/reader.cpp
+++ b/packages/document/src/reader.cpp
@@ -1,6 +1,6 @@
 #include "crowlink/document/document_reader.hpp"
 
-#include "cross_rules.hpp"
+#include "cross_field_rules.hpp"
 #include "crowlink/document/strict_json.hpp"
 #include "document_json.hpp"
 #include "schema_check.hpp"
@@ -15,7 +15,7 @@
 namespace
 {
 
-tl::unexpected<document_errors> refuse(std::vector<document_error> errors)
+tl::unexpected<document_errors> make_errors(std::vector<document_error> errors)
 {
     return tl::unexpected<document_errors>(document_errors(std::move(errors)));
 }
@@ -24,13 +24,14 @@
 {
     if (text.size() > max_document_bytes)
     {
-        return refuse({{"", fmt::format("{} bytes", text.size()),
-                        fmt::format("at most {} bytes", max_document_bytes)}});
+        return make_errors(
+            {{"", fmt::format("{} bytes", text.size()),
+              fmt::format("at most {} bytes", max_document_bytes)}});
     }
     auto parsed = parse_strict_json(text);
     if (!parsed)
     {
-        return refuse({parsed.error()});
+        return make_errors({parsed.error()});
     }
     return std::move(*parsed);
 }
@@ -45,13 +46,13 @@
         return tl::unexpected(parsed.error());
     }
     auto errors = internal::check_schema(*parsed);
-    for (auto& broken : internal::check_cross_rules(*parsed))
+    for (auto& violation : internal::check_cross_field_rules(*parsed))
     {
-        errors.push_back(std::move(broken));
+        errors.push_back(std::move(violation));
     }
     if (!errors.empty())
     {
-        return refuse(std::move(errors));
+        return make_errors(std::move(errors));
     }
     return internal::from_json(*parsed);
 }
@@ -63,19 +64,19 @@
     {
         return tl::unexpected(parsed.error());
     }
-    auto errors = internal::check_cross_rules(*parsed);
+    auto errors = internal::check_cross_field_rules(*parsed);
     if (!errors.empty())
     {
-        return refuse(std::move(errors));
+        return make_errors(std::move(errors));
     }
     try
     {
         return internal::from_json(*parsed);
     }
-    catch (const std::exception& problem)
+    catch (const std::exception& failure)
     {
-        // Committed by a program with another schema.
-        return refuse({{"", problem.what(), "a document of this schema"}});
+        // The document was committed by a release with another schema.
+        return make_errors({{"", failure.what(), "a document of this schema"}});
     }
 }
 
--- a/packages/document/src/schema_check.cpp
+++ b/packages/document/src/schema_check.cpp
@@ -31,7 +31,7 @@
 using nlohmann::json;
 using adapter = valijson::adapters::NlohmannJsonAdapter;
 
-// The schema as JSON, for its descriptions, and as the library wants it.
+// The schema as JSON, for its descriptions, and in the validator's form.
 class compiled_schema
 {
 public:
@@ -49,21 +49,22 @@
     valijson::Schema m_schema;
 };
 
-const compiled_schema& the_schema()
+const compiled_schema& shared_schema()
 {
     static const compiled_schema schema;
     return schema;
 }
 
-// A path as tokens; the library writes "<root>", "[services]", "[0]".
+// A path as tokens. The validator formats the context of an error as "<root>",
+// "[services]", "[0]".
 using tokens = std::vector<std::string>;
 
 tokens to_tokens(const std::vector<std::string>& context)
 {
     tokens path;
-    for (std::size_t at = 1; at < context.size(); ++at)
+    for (std::size_t index = 1; index < context.size(); ++index)
     {
-        path.push_back(context[at].substr(1, context[at].size() - 2));
+        path.push_back(context[index].substr(1, context[index].size() - 2));
     }
     return path;
 }
@@ -86,19 +87,19 @@
         return schema;
     }
     const auto pointer = reference->get<std::string>().substr(1);
-    return the_schema().text().at(json::json_pointer(pointer));
+    return shared_schema().text().at(json::json_pointer(pointer));
 }
 
-// The part of the schema that speaks about a path. The library reports only
-// paths that the schema describes.
+// The subschema of a path. The validator reports only paths that the schema
+// describes.
 const json& schema_at(const tokens& path)
 {
-    const json* schema = &the_schema().text();
+    const json* schema = &shared_schema().text();
     for (const auto& token : path)
     {
-        const bool list = schema->contains("items");
-        schema =
-            list ? &schema->at("items") : &schema->at("properties").at(token);
+        const bool is_list = schema->contains("items");
+        schema = is_list ? &schema->at("items")
+                         : &schema->at("properties").at(token);
         schema = &resolve(*schema);
     }
     return *schema;
@@ -115,7 +116,7 @@
     return *value;
 }
 
-std::string names_of(const json& object)
+std::string field_names(const json& object)
 {
     std::string names;
     for (const auto& [name, unused] : object.items())
@@ -134,8 +135,9 @@
     {
         if (!known.contains(name))
         {
-            errors.push_back({child_path(path, name), describe(field),
-                              "absent; known fields are " + names_of(known)});
+            errors.push_back(
+                {child_path(path, name), describe(field),
+                 "absent; known fields are " + field_names(known)});
         }
     }
     for (const auto& name : schema.value("required", json::array()))
@@ -157,30 +159,32 @@
            std::equal(path.begin(), path.end(), next->begin());
 }
 
-bool wrong_size(const json& value, const json& schema)
+bool is_wrong_size(const json& value, const json& schema)
 {
-    const auto least = schema.value("minItems", std::size_t{0});
-    const auto most = schema.value("maxItems", value.size());
-    return value.size() < least || value.size() > most;
+    const auto min_items = schema.value("minItems", std::size_t{0});
+    const auto max_items = schema.value("maxItems", value.size());
+    return value.size() < min_items || value.size() > max_items;
 }
 
-// Says in the schema's own words what is wrong at a path. The library reports
-// a container also for the faults of its elements; those have paths of their
-// own.
+// Adds the errors at a path, with the schema's description as the rule. The
+// validator also reports a container for the errors of its elements, which are
+// reported at their own paths.
 void add_errors(const json& root, const std::set<tokens>& paths,
-                const tokens& at, std::vector<document_error>& errors)
+                const tokens& location, std::vector<document_error>& errors)
 {
-    const json& value = value_at(root, at);
-    const json& schema = schema_at(at);
-    const auto path = to_path(at);
+    const json& value = value_at(root, location);
+    const json& schema = schema_at(location);
+    const auto path = to_path(location);
     const std::size_t before = errors.size();
     if (value.is_object() && schema.contains("properties"))
     {
         add_field_errors(value, schema, path, errors);
     }
-    const bool told = errors.size() > before || has_error_below(paths, at);
-    const bool resized = value.is_array() && wrong_size(value, schema);
-    if (!told || resized)
+    const bool reported =
+        errors.size() > before || has_error_below(paths, location);
+    const bool has_wrong_size =
+        value.is_array() && is_wrong_size(value, schema);
+    if (!reported || has_wrong_size)
     {
         errors.push_back({path, describe(value),
                           schema.at("description").get<std::string>()});
@@ -193,14 +197,14 @@
 {
     valijson::Validator validator(valijson::Validator::kStrongTypes);
     valijson::ValidationResults results;
-    if (validator.validate(the_schema().schema(), adapter(value), &results))
+    if (validator.validate(shared_schema().schema(), adapter(value), &results))
     {
         return {};
     }
     std::set<tokens> paths;
-    for (const auto& fault : results)
+    for (const auto& violation : results)
     {
-        paths.insert(to_tokens(fault.context));
+        paths.insert(to_tokens(violation.context));
     }
     std::vector<document_error> errors;
     for (const auto& path : paths)
--- a/packages/document/src/schema_check.hpp
+++ b/packages/document/src/schema_check.hpp
@@ -8,7 +8,7 @@
 namespace crowlink::internal
 {
 
-// Every place where the value breaks the document's schema.
+// Returns the violations of the document's schema.
 std::vector<document_error> check_schema(const nlohmann::json& value);
 
 } // namespace crowlink::internal
--- a/packages/document/src/strict_json.cpp
+++ b/packages/document/src/strict_json.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t max_depth = 16;
 
-// Where the parser stands inside one container.
+// The parser's position in one container.
 struct frame
 {
     bool is_object = false;
@@ -27,28 +27,28 @@
     std::set<std::string, std::less<>> keys;
 };
 
-// The text with bytes outside of printable ASCII replaced: the message quotes
-// input that may be no valid UTF-8.
+// Replaces bytes other than printable ASCII, since the message quotes input
+// that may be invalid UTF-8.
 std::string printable(std::string_view text)
 {
     constexpr char first = ' ';
     constexpr char last = '~';
-    std::string clean(text);
-    for (char& letter : clean)
+    std::string result(text);
+    for (char& character : result)
     {
-        letter = letter < first || letter > last ? '?' : letter;
+        character = character < first || character > last ? '?' : character;
     }
-    return clean;
+    return result;
 }
 
-// Looks at a text without building it, and stops at the first fault. The
-// functions are those that nlohmann's SAX interface asks for.
+// Checks a text without building its value, and stops at the first error. The
+// public functions implement nlohmann's SAX interface.
 class json_inspector
 {
 public:
     using json = nlohmann::json;
 
-    const document_error& fault() const { return m_fault; }
+    const document_error& error() const { return m_error; }
 
     bool null() { return value(); }
     bool boolean(bool /*unused*/) { return value(); }
@@ -75,19 +75,19 @@
         {
             return true;
         }
-        m_fault = {path(), "a field given twice", "given once"};
+        m_error = {path(), "a field given twice", "given once"};
         return false;
     }
 
     bool parse_error(std::size_t position, const std::string& /*unused*/,
                      const nlohmann::detail::exception& reason)
     {
-        // The library's message starts with its own error number in brackets.
+        // The message starts with an error number of the library in brackets.
         const std::string_view message = reason.what();
         const std::size_t end = message.find("] ");
         const auto text =
             end == std::string_view::npos ? message : message.substr(end + 2);
-        m_fault = {"", fmt::format("at byte {}: {}", position, printable(text)),
+        m_error = {"", fmt::format("at byte {}: {}", position, printable(text)),
                    "JSON with comments"};
         return false;
     }
@@ -106,7 +106,7 @@
     {
         if (m_frames.size() == max_depth)
         {
-            m_fault = {path(), "deeper nesting",
+            m_error = {path(), "deeper nesting",
                        fmt::format("nested at most {} deep", max_depth)};
             return false;
         }
@@ -123,16 +123,17 @@
     std::string path() const
     {
         std::string text;
-        for (const auto& step : m_frames)
+        for (const auto& container : m_frames)
         {
-            text = child_path(
-                text, step.is_object ? step.key : std::to_string(step.index));
+            text = child_path(text, container.is_object
+                                        ? container.key
+                                        : std::to_string(container.index));
         }
         return text;
     }
 
     std::vector<frame> m_frames;
-    document_error m_fault;
+    document_error m_error;
 };
 
 } // namespace
@@ -147,7 +148,7 @@
     if (!json::sax_parse(text, &inspector, json::input_format_t::json, strict,
                          ignore_comments))
     {
-        return tl::unexpected<document_error>(inspector.fault());
+        return tl::unexpected<document_error>(inspector.error());
     }
     constexpr bool throw_on_error = false;
     return json::parse(text, nullptr, throw_on_error, ignore_comments);
--- a/packages/document/test/difference_test.cpp
+++ b/packages/document/test/difference_test.cpp
@@ -12,21 +12,21 @@
 
 using nlohmann::json;
 
-// The naive version: the leaves of a document by path, compared as maps.
+// The reference implementation: a map from path to leaf value.
 using leaves = std::map<std::string, std::string>;
 
-void add_leaves(const json& value, const std::string& path, leaves& into)
+void add_leaves(const json& value, const std::string& path, leaves& target)
 {
     if (!value.is_object())
     {
-        into[path] = value.dump();
+        target[path] = value.dump();
         return;
     }
-    // An empty container has no leaf, but it is there.
-    into[path] = "{}";
+    // An empty container has no leaf; this entry records its presence.
+    target[path] = "{}";
     for (const auto& [key, child] : value.items())
     {
-        add_leaves(child, fmt::format("{}/{}", path, key), into);
+        add_leaves(child, fmt::format("{}/{}", path, key), target);
     }
 }
 
@@ -68,17 +68,18 @@
     return all;
 }
 
-// Applies a difference to the naive version.
+// Applies a difference to the reference representation.
 void apply(const document_difference& difference, leaves& target)
 {
     for (const auto& change : difference.changes())
     {
         const auto below = change.path + "/";
-        for (auto at = target.begin(); at != target.end();)
+        for (auto entry = target.begin(); entry != target.end();)
         {
-            const bool gone = at->first == change.path ||
-                              at->first.compare(0, below.size(), below) == 0;
-            at = gone ? target.erase(at) : std::next(at);
+            const bool is_replaced =
+                entry->first == change.path ||
+                entry->first.compare(0, below.size(), below) == 0;
+            entry = is_replaced ? target.erase(entry) : std::next(entry);
         }
         if (!change.after.empty())
         {
@@ -87,7 +88,7 @@
     }
 }
 
-TEST(difference, equal_documents_have_none)
+TEST(difference, is_empty_for_equal_documents)
 {
     const auto document = read_document(full_document);
     ASSERT_TRUE(document);
@@ -96,7 +97,7 @@
     EXPECT_EQ(compare(*document, *document).to_json(), "[]");
 }
 
-TEST(difference, names_elements_by_identity)
+TEST(difference, identifies_list_elements_by_key)
 {
     const auto before = read_document(full_document);
     ASSERT_TRUE(before);
@@ -118,7 +119,7 @@
     EXPECT_EQ(list[3]["after"], 9);
 }
 
-TEST(difference, leads_from_one_document_to_the_other_like_the_naive_one)
+TEST(difference, applied_to_one_document_yields_the_other)
 {
     seeded_random random(2);
     for (int round = 0; round < 300; ++round)
--- a/packages/document/test/fuzz_test.cpp
+++ b/packages/document/test/fuzz_test.cpp
@@ -29,26 +29,27 @@
     const auto edits = 1 + random() % 4;
     for (std::uint64_t edit = 0; edit < edits; ++edit)
     {
-        const std::size_t at = random() % (text.size() + 1);
+        const std::size_t position = random() % (text.size() + 1);
         const std::size_t length = random() % 12;
         switch (random() % 3)
         {
         case 0:
-            text.erase(at, length);
+            text.erase(position, length);
             break;
         case 1:
-            text.insert(at, tokens[random() % std::size(tokens)]);
+            text.insert(position, tokens[random() % std::size(tokens)]);
             break;
         default:
-            text.insert(at, text.substr(random() % (text.size() + 1), length));
+            text.insert(position,
+                        text.substr(random() % (text.size() + 1), length));
             break;
         }
     }
     return text;
 }
 
-// Whatever the text: no crash, and either a document that is stable when
-// written and read again, or errors that say something.
+// Every input yields without a crash either a document that is unchanged when
+// written and read again, or a non-empty list of errors.
 TEST(fuzz, any_text_yields_a_stable_document_or_errors)
 {
     seeded_random random(3);
@@ -70,7 +71,7 @@
                   std::string::npos);
         ASSERT_FALSE(document.error().to_json().empty());
     }
-    // The mutations must reach both outcomes for the test to mean anything.
+    // The mutations must reach both outcomes, or the test checks too little.
     EXPECT_GT(accepted, 20U);
     EXPECT_LT(accepted, 3000U);
 }
--- a/packages/document/test/reader_test.cpp
+++ b/packages/document/test/reader_test.cpp
@@ -12,16 +12,16 @@
 
 using nlohmann::json;
 
-// One rule broken by replacing the value at a path, or adding it there.
-struct broken_rule
+// A rule that is violated by replacing or adding the value at a path.
+struct rule_violation
 {
-    const char* at;
+    const char* pointer;
     const char* value;
     const char* error_path;
     const char* rule_part;
 };
 
-const broken_rule broken_rules[] = {
+const rule_violation rule_violations[] = {
     {"", "[]", "", "an object with regions"},
     {"/extra", "1", "/extra", "known fields are"},
     {"/regions", "1", "/regions", "at most 64 regions"},
@@ -147,7 +147,7 @@
     EXPECT_EQ(document->drains, std::vector<upstream_id>{upstream_id("u1")});
 }
 
-TEST(reader, routes_are_read_and_give_services_their_shares)
+TEST(reader, reads_routes_and_derives_the_shares_of_services)
 {
     const auto document = read_document(R"({
         "regions": [{"name": "r", "places": ["p"]}],
@@ -178,7 +178,7 @@
     EXPECT_EQ(read_document(write_document(*document)), document);
 }
 
-TEST(reader, absent_fields_have_the_model_defaults)
+TEST(reader, absent_fields_get_the_defaults_of_the_model)
 {
     const auto document = read_document(full_document);
     ASSERT_TRUE(document);
@@ -188,29 +188,30 @@
     EXPECT_TRUE(plain.kinds.empty());
 }
 
-TEST(reader, each_broken_rule_is_reported_at_its_path)
+TEST(reader, reports_each_violation_at_its_path)
 {
     constexpr bool ignore_comments = true;
     const auto valid =
         json::parse(full_document, nullptr, true, ignore_comments);
-    for (const auto& broken : broken_rules)
+    for (const auto& violation : rule_violations)
     {
         auto changed = valid;
-        changed[json::json_pointer(broken.at)] = json::parse(broken.value);
+        changed[json::json_pointer(violation.pointer)] =
+            json::parse(violation.value);
         const auto answer = read_document(changed.dump());
-        ASSERT_FALSE(answer) << broken.at << " = " << broken.value;
+        ASSERT_FALSE(answer) << violation.pointer << " = " << violation.value;
         const auto& items = answer.error().items();
         ASSERT_EQ(items.size(), 1U)
-            << broken.at << " = " << broken.value << "\n"
+            << violation.pointer << " = " << violation.value << "\n"
             << text_of(answer.error());
-        EXPECT_EQ(items[0].path, broken.error_path);
-        EXPECT_NE(items[0].rule.find(broken.rule_part), std::string::npos)
+        EXPECT_EQ(items[0].path, violation.error_path);
+        EXPECT_NE(items[0].rule.find(violation.rule_part), std::string::npos)
             << text_of(answer.error());
         EXPECT_FALSE(items[0].found.empty());
     }
 }
 
-TEST(reader, all_errors_come_at_once_and_sorted)
+TEST(reader, reports_all_errors_sorted_by_path)
 {
     constexpr bool ignore_comments = true;
     auto value = json::parse(full_document, nullptr, true, ignore_comments);
@@ -232,7 +233,7 @@
                                         "/services/1/name"}));
 }
 
-TEST(reader, an_error_prints_path_value_and_rule)
+TEST(reader, formats_an_error_with_path_value_and_rule)
 {
     const auto answer = read_document(R"({"regions":7,"services":[]})");
     ASSERT_FALSE(answer);
@@ -243,7 +244,7 @@
               R"("rule":"a list of at most 64 regions"}],"left_out":0})");
 }
 
-TEST(reader, the_number_of_errors_is_bounded_and_the_rest_counted)
+TEST(reader, bounds_the_number_of_errors_and_counts_the_rest)
 {
     json value = {{"regions", json::array()}, {"services", json::array()}};
     value["drains"] = json::array();
@@ -257,7 +258,7 @@
     EXPECT_EQ(answer.error().left_out(), 50U);
 }
 
-TEST(reader, text_that_is_no_json_names_the_line)
+TEST(reader, reports_the_line_of_a_syntax_error)
 {
     const auto answer = read_document("{\n  \"regions\": [,]\n}");
     ASSERT_FALSE(answer);
@@ -265,7 +266,7 @@
     EXPECT_NE(text.find("line 2"), std::string::npos) << text;
 }
 
-TEST(reader, a_field_given_twice_is_refused)
+TEST(reader, rejects_a_duplicate_field)
 {
     const auto answer = read_document(
         R"({"regions":[],"services":[{"id":1,"na/me":2,"na/me":3}]})");
@@ -274,7 +275,7 @@
     EXPECT_EQ(answer.error().items()[0].rule, "given once");
 }
 
-TEST(reader, deep_nesting_and_long_text_are_refused)
+TEST(reader, rejects_deep_nesting_and_long_texts)
 {
     EXPECT_FALSE(read_document(std::string(1U << 20U, '[')));
     const std::string spaces(max_document_bytes + 1, ' ');
@@ -283,7 +284,7 @@
     EXPECT_NE(answer.error().to_text().find("at most"), std::string::npos);
 }
 
-TEST(reader, the_embedded_schema_is_the_committed_one)
+TEST(reader, embeds_the_schema_file)
 {
     std::ifstream file(CROWLINK_SOURCE_DIR
                        "/packages/document/schema/document.schema.json");
@@ -292,13 +293,13 @@
     EXPECT_EQ(json::parse(document_schema()), json::parse(text.str()));
 }
 
-TEST(read_committed_document, reads_what_was_checked_as_the_check_does)
+TEST(read_committed_document, reads_a_valid_document_like_read_document)
 {
     EXPECT_EQ(read_committed_document(full_document),
               read_document(full_document));
 }
 
-TEST(read_committed_document, still_keeps_the_rules_across_fields)
+TEST(read_committed_document, checks_the_cross_field_rules)
 {
     auto value = json::parse(full_document, nullptr, true, true);
     value["services"][1]["id"] = 1;
@@ -307,8 +308,9 @@
     EXPECT_NE(read.error().to_text().find("/services/1/id"), std::string::npos);
 }
 
-// What only the schema forbids is an error or read as well as may be.
-TEST(read_committed_document, survives_what_another_schema_allowed)
+// A value that only the schema rejects is an error if it cannot be read, and is
+// accepted otherwise.
+TEST(read_committed_document, rejects_documents_that_only_another_schema_allows)
 {
     auto value = json::parse(full_document, nullptr, true, true);
     value["services"][0]["name"] = 7;
--- a/packages/document/test/round_trip_test.cpp
+++ b/packages/document/test/round_trip_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST(round_trip, what_was_written_is_read_back)
+TEST(round_trip, a_written_document_is_read_back_unchanged)
 {
     seeded_random random(1);
     for (int round = 0; round < 300; ++round)
@@ -22,7 +22,7 @@
     }
 }
 
-TEST(round_trip, the_order_of_lists_means_nothing)
+TEST(round_trip, the_order_of_lists_is_ignored)
 {
     const auto document = read_document(full_document);
     ASSERT_TRUE(document);
@@ -32,7 +32,7 @@
     EXPECT_EQ(write_document(shuffled), write_document(*document));
 }
 
-TEST(round_trip, fields_are_written_in_reading_order)
+TEST(round_trip, fields_are_written_in_canonical_order)
 {
     const auto text = write_compact_document(system_document{
         {{place_id("p"), region_id("r")}}, {}, {upstream_id("u")}});
--- a/packages/document/test/sample_documents.hpp
+++ b/packages/document/test/sample_documents.hpp
@@ -27,7 +27,7 @@
   "drains": ["u1"]
 })";
 
-// A valid document drawn from a seed, in canonical order.
+// A random valid document in canonical order.
 inline system_document random_document(seeded_random& random)
 {
     const auto draw = [&random](std::uint64_t below)
@@ -36,10 +36,10 @@
     };
     system_document document;
     const auto places = 1 + draw(4);
-    for (std::uint32_t at = 0; at < places; ++at)
+    for (std::uint32_t index = 0; index < places; ++index)
     {
-        document.places.push_back({place_id("p" + std::to_string(at)),
-                                   region_id(at < 2 ? "a" : "b")});
+        document.places.push_back({place_id("p" + std::to_string(index)),
+                                   region_id(index < 2 ? "a" : "b")});
     }
     for (std::uint32_t id = 1; id < 6; ++id)
     {
@@ -68,9 +68,9 @@
         }
         document.services.push_back(declared);
     }
-    for (std::uint32_t at = 0; at < draw(4); ++at)
+    for (std::uint32_t index = 0; index < draw(4); ++index)
     {
-        document.drains.emplace_back("u" + std::to_string(at));
+        document.drains.emplace_back("u" + std::to_string(index));
     }
     return document;
 }
