--- a/packages/plan/include/crowlink/plan.hpp
+++ b/packages/plan/include/crowlink/plan.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-// The plan module: how many hosts a deployment needs, from measured slopes.
-// It is arithmetic on values; it opens no file and asks no host.
+// The plan module: computes the number of hosts that a deployment needs from
+// measured costs. It performs no I/O.
 //
 //   cost.hpp           the names of the measured costs
-//   cost_line.hpp      a cost as a straight line, with the error of its fit
-//   measured_costs.hpp all lines, as the capacity bench wrote them
+//   cost_line.hpp      a cost as a linear function, with the error of its fit
+//   measured_costs.hpp the linear functions of all costs
 //   deployment.hpp     the sizes of a deployment
-//   host_limits.hpp    what one host offers and what control may spend of it
-//   limit_use.hpp      how much of one limit a plan uses
-//   capacity_plan.hpp  the hosts that are needed and the limits they meet
-//   plan_file.hpp      reading a deployment from JSON with comments
+//   host_limits.hpp    the capacity of one host and control's share of it
+//   limit_use.hpp      the utilization of one limit
+//   capacity_plan.hpp  the required hosts and the utilization of limits
+//   plan_file.hpp      reads a deployment from JSON with comments
 
 #include "crowlink/plan/capacity_plan.hpp"
 #include "crowlink/plan/cost.hpp"
--- a/packages/plan/include/crowlink/plan/cost_line.hpp
+++ b/packages/plan/include/crowlink/plan/cost_line.hpp
@@ -3,17 +3,17 @@
 namespace crowlink
 {
 
-// A cost as a straight line over one size, fitted by least squares.
+// A cost as a linear function of one size, fitted by least squares.
 struct cost_line
 {
     // The cost at size zero.
     double fixed = 0.0;
-    // What one unit of the size adds.
+    // The additional cost per unit of the size.
     double per_unit = 0.0;
-    // The root mean square of the points' relative distance to the line.
+    // The root mean square of the relative residuals.
     double relative_error = 0.0;
 
-    // The cost at a size; never negative.
+    // The cost at a size, at least zero.
     double at(double size) const
     {
         const double value = fixed + per_unit * size;
--- a/packages/plan/include/crowlink/plan/limit_use.hpp
+++ b/packages/plan/include/crowlink/plan/limit_use.hpp
@@ -6,7 +6,7 @@
 namespace crowlink
 {
 
-// A limit that a deployment may meet.
+// A resource limit of a deployment.
 enum class limit : std::uint8_t
 {
     entry_processor,
@@ -24,14 +24,14 @@
 
 std::string_view to_string(limit value);
 
-// How much of one limit a plan uses, in the limit's own unit.
+// The use of one limit by a plan, in the limit's unit.
 struct limit_use
 {
     limit which = limit::entry_processor;
     double used = 0.0;
     double allowed = 0.0;
 
-    // 1 is all of it; more cannot be carried.
+    // The utilization; values above 1 exceed the limit.
     double share() const { return allowed > 0.0 ? used / allowed : 0.0; }
 
     friend bool operator==(const limit_use&, const limit_use&) = default;
--- a/packages/plan/include/crowlink/plan/measured_costs.hpp
+++ b/packages/plan/include/crowlink/plan/measured_costs.hpp
@@ -10,7 +10,7 @@
 namespace crowlink
 {
 
-// One line for each cost.
+// The linear function of each cost.
 class measured_costs
 {
 public:
@@ -31,11 +31,12 @@
     lines_type m_lines{};
 };
 
-// Reads the capacity bench's output; a cost that is missing or not a number is
-// an error that names it. Lines that the plan does not use are ignored.
+// Reads the output of the capacity bench. A cost that is missing or not numeric
+// is an error with the name of the cost. Costs that the plan does not use are
+// ignored.
 result<measured_costs> read_costs(std::string_view text);
 
-// The slopes measured for this release, as the capacity bench wrote them.
+// The output of the capacity bench that is embedded in this release.
 std::string_view shipped_costs_text();
 
 } // namespace crowlink
--- a/packages/plan/include/crowlink/plan/plan_file.hpp
+++ b/packages/plan/include/crowlink/plan/plan_file.hpp
@@ -9,7 +9,7 @@
 namespace crowlink
 {
 
-// What an operator writes to ask for a plan.
+// The operator's input for a plan.
 struct plan_file
 {
     deployment sizes;
@@ -19,7 +19,7 @@
 };
 
 // Reads JSON with comments. An unknown name, a missing size or a value that is
-// not a positive number is an error that names its path.
+// not a positive number is an error with the path of the field.
 result<plan_file> read_plan_file(std::string_view text);
 
 } // namespace crowlink
--- a/packages/plan/src/capacity_plan.cpp
+++ b/packages/plan/src/capacity_plan.cpp
@@ -17,24 +17,27 @@
 constexpr double ns_per_second = 1.0e9;
 constexpr double seconds_per_day = 86400.0;
 constexpr double seconds_per_minute = 60.0;
-// How often an agent renews its lease, and a node its subscription.
+// The interval at which agents renew leases and nodes renew subscriptions.
 constexpr double renewal_seconds = 2.0;
-// A renewal with its transport framing; measured sizes are below this.
+// Upper bound of the measured sizes of a renewal with its transport framing.
 constexpr double renewal_bytes = 256.0;
-// A restart is announced as leaving, gone and ready; a failure as gone, ready.
+// A restart is published as leaving, gone and ready; a failure as gone and
+// ready.
 constexpr double events_per_restart = 3.0;
 constexpr double events_per_failure = 2.0;
-constexpr std::uint64_t few_voters = 3;
-constexpr std::uint64_t many_voters = 5;
-constexpr std::uint64_t least_entry_hosts = 2;
-// A host below this share of its planned processor carries both control roles.
-constexpr double shared_below = 0.25;
-// Observers judge and publish ten times a second.
+constexpr std::uint64_t min_voters = 3;
+constexpr std::uint64_t max_voters = 5;
+constexpr std::uint64_t min_entry_hosts = 2;
+// Voters and observers share hosts if their utilization of the planned
+// processor time is below this.
+constexpr double max_shared_utilization = 0.25;
+// Observers run failure detection and publish changes ten times per second.
 constexpr double ticks_per_second = 10.0;
-// Nodes that one observer serves at most.
+// The maximum number of nodes attached to one observer.
 constexpr double sessions_per_observer = 4096.0;
-// Cores; keeps the count finite where an observer's own part fills the host.
-constexpr double least_room = 0.01;
+// Lower bound of the cores left for shared load. Keeps the number of
+// observers finite if the per-observer load alone exceeds the host's capacity.
+constexpr double min_available_cores = 0.01;
 
 double members_per_service(const deployment& sizes)
 {
@@ -42,7 +45,7 @@
            static_cast<double>(sizes.services);
 }
 
-// Changes of the document and of the membership together, in the worst minute.
+// The rate of document and membership changes in the busiest minute.
 double peak_changes_per_second(const deployment& sizes)
 {
     const double membership = (events_per_restart * sizes.restarts_per_day +
@@ -54,35 +57,36 @@
     return membership + document;
 }
 
-// Cores that all entry hosts spend on packets: one decision a caller's packet,
-// and one receive and send each way.
+// Cores that all entry hosts use for packets: one routing decision per caller's
+// packet, and one receive and send in each direction.
 double packet_cores(const deployment& sizes, const measured_costs& costs)
 {
     const double decision =
         costs[cost::balancer_packet_ns].at(members_per_service(sizes));
-    const double input_output =
+    const double packet_io =
         2.0 * costs[cost::packet_io_ns].at(sizes.bytes_per_packet);
-    return sizes.packets_per_second * (decision + input_output) / ns_per_second;
+    return sizes.packets_per_second * (decision + packet_io) / ns_per_second;
 }
 
-// Bytes a second that one direction of all entry hosts' links carries.
+// Bytes per second in one direction of the links of all entry hosts.
 double packet_bytes(const deployment& sizes)
 {
     return 2.0 * sizes.packets_per_second * sizes.bytes_per_packet;
 }
 
-// Hosts such that losing one place leaves enough, or one host of a lone place.
-std::uint64_t with_spare(double needed, std::uint64_t places)
+// The number of hosts at which enough remain after the loss of one data centre,
+// or of one host if there is only one data centre.
+std::uint64_t with_redundancy(double needed, std::uint64_t places)
 {
-    const double least = std::max(std::ceil(needed), 1.0);
-    const auto hosts = static_cast<std::uint64_t>(least);
+    const double at_least_one = std::max(std::ceil(needed), 1.0);
+    const auto hosts = static_cast<std::uint64_t>(at_least_one);
     if (places < 2)
     {
-        return std::max(hosts + 1, least_entry_hosts);
+        return std::max(hosts + 1, min_entry_hosts);
     }
     const auto survivors = places - 1;
-    const auto in_each = (hosts + survivors - 1) / survivors;
-    return in_each * places;
+    const auto hosts_per_place = (hosts + survivors - 1) / survivors;
+    return hosts_per_place * places;
 }
 
 double after_place_lost(std::uint64_t hosts, std::uint64_t places)
@@ -105,42 +109,43 @@
     const double by_network =
         packet_bytes(sizes) /
         (host.network_bytes_per_second * host.planned_share);
-    return with_spare(std::max(by_processor, by_network), sizes.places);
+    return with_redundancy(std::max(by_processor, by_network), sizes.places);
 }
 
-// What observers spend: a part that more of them share, and a part that each
-// has, since each holds every record.
+// The load of the observers: a part that is divided among them, and a part that
+// each observer has, since each one stores every record.
 struct observer_load
 {
     double shared_cores = 0.0;
-    double own_cores = 0.0;
+    double per_observer_cores = 0.0;
     double shared_bytes_per_second = 0.0;
-    // Balancers and agents that subscribe.
+    // The number of subscribed balancers and agents.
     double sessions = 0.0;
 };
 
-observer_load observers_load(const deployment& sizes, double nodes,
-                             const measured_costs& costs)
+observer_load compute_observer_load(const deployment& sizes, double nodes,
+                                    const measured_costs& costs)
 {
     const auto upstreams = static_cast<double>(sizes.upstreams);
     const double renewals = (upstreams + nodes) / renewal_seconds;
     const double changes = peak_changes_per_second(sizes);
-    // Every balancer wants every change, and of agents those of the service.
-    const double told = nodes + members_per_service(sizes);
+    // All balancers subscribe to every change, agents only to those of their
+    // service.
+    const double subscribers = nodes + members_per_service(sizes);
     observer_load load;
     load.sessions = nodes + upstreams;
     load.shared_cores =
         (renewals * costs[cost::observer_renewal_ns].at(upstreams) +
-         changes * costs[cost::observer_push_ns].at(told) +
+         changes * costs[cost::observer_push_ns].at(subscribers) +
          ticks_per_second *
              costs[cost::observer_node_tick_ns].at(load.sessions)) /
         ns_per_second;
-    load.own_cores = ticks_per_second *
-                     costs[cost::observer_tick_ns].at(upstreams) /
-                     ns_per_second;
+    load.per_observer_cores = ticks_per_second *
+                              costs[cost::observer_tick_ns].at(upstreams) /
+                              ns_per_second;
     load.shared_bytes_per_second =
         renewals * renewal_bytes +
-        changes * costs[cost::observer_push_bytes].at(told) +
+        changes * costs[cost::observer_push_bytes].at(subscribers) +
         load.sessions * costs[cost::node_idle_bytes].per_unit;
     return load;
 }
@@ -148,28 +153,31 @@
 std::uint64_t observers_for(const observer_load& load, const host_limits& host,
                             std::uint64_t places)
 {
-    const double room =
-        std::max(host.cores * host.planned_share - load.own_cores, least_room);
-    const double by_processor = load.shared_cores / room;
+    const double available_cores =
+        std::max(host.cores * host.planned_share - load.per_observer_cores,
+                 min_available_cores);
+    const double by_processor = load.shared_cores / available_cores;
     const double by_network =
         load.shared_bytes_per_second /
         (host.network_bytes_per_second * host.planned_share);
     const double by_sessions = load.sessions / sessions_per_observer;
-    return with_spare(std::max({by_processor, by_network, by_sessions}),
-                      places);
+    return with_redundancy(std::max({by_processor, by_network, by_sessions}),
+                           places);
 }
 
 void add_entry_limits(capacity_plan& plan, const deployment& sizes,
                       const host_limits& host, const measured_costs& costs)
 {
-    const double left = after_place_lost(plan.entry_hosts, sizes.places);
+    const double remaining_hosts =
+        after_place_lost(plan.entry_hosts, sizes.places);
     const double tables =
         static_cast<double>(sizes.services) *
         costs[cost::table_bytes].at(members_per_service(sizes));
     plan.limits.push_back({limit::entry_processor,
-                           packet_cores(sizes, costs) / left,
+                           packet_cores(sizes, costs) / remaining_hosts,
                            host.cores * host.planned_share});
-    plan.limits.push_back({limit::entry_network, packet_bytes(sizes) / left,
+    plan.limits.push_back({limit::entry_network,
+                           packet_bytes(sizes) / remaining_hosts,
                            host.network_bytes_per_second * host.planned_share});
     plan.limits.push_back(
         {limit::entry_memory, tables, host.memory_bytes * host.planned_share});
@@ -198,7 +206,7 @@
          host.control_bytes_per_second});
 }
 
-// Cores of a voter: membership never enters the log, so only the document does.
+// Cores that a voter uses. The log holds only document changes, no membership.
 double voter_cores(const deployment& sizes, const measured_costs& costs)
 {
     const double changes =
@@ -208,12 +216,14 @@
     return changes * costs[cost::voter_change_ns].at(document) / ns_per_second;
 }
 
-// The busiest control host when a place is lost.
+// Cores that the busiest control host uses after the loss of a data centre.
 double control_cores(const capacity_plan& plan, const deployment& sizes,
                      const observer_load& load, const measured_costs& costs)
 {
-    const double left = after_place_lost(plan.observers, sizes.places);
-    const double observer = load.own_cores + load.shared_cores / left;
+    const double remaining_hosts =
+        after_place_lost(plan.observers, sizes.places);
+    const double observer =
+        load.per_observer_cores + load.shared_cores / remaining_hosts;
     const double voter = voter_cores(sizes, costs);
     return plan.shared ? observer + voter : std::max(observer, voter);
 }
@@ -222,8 +232,10 @@
                         const host_limits& host, const observer_load& load,
                         const measured_costs& costs)
 {
-    const double left = after_place_lost(plan.observers, sizes.places);
-    // Every observer holds every record, so that any of them may serve a node.
+    const double remaining_hosts =
+        after_place_lost(plan.observers, sizes.places);
+    // Every observer stores every record, so that a node can attach to any of
+    // them.
     const double state =
         costs[cost::observer_bytes].at(static_cast<double>(sizes.upstreams));
     plan.limits.push_back({limit::control_hosts,
@@ -235,7 +247,7 @@
     plan.limits.push_back(
         {limit::control_memory, state, host.memory_bytes * host.planned_share});
     plan.limits.push_back({limit::control_network,
-                           load.shared_bytes_per_second / left,
+                           load.shared_bytes_per_second / remaining_hosts,
                            host.network_bytes_per_second * host.planned_share});
 }
 
@@ -246,13 +258,13 @@
 {
     capacity_plan plan;
     plan.entry_hosts = entry_hosts_for(sizes, host, costs);
-    plan.voters = sizes.places > few_voters ? many_voters : few_voters;
-    const observer_load load =
-        observers_load(sizes, static_cast<double>(plan.entry_hosts), costs);
+    plan.voters = sizes.places > min_voters ? max_voters : min_voters;
+    const observer_load load = compute_observer_load(
+        sizes, static_cast<double>(plan.entry_hosts), costs);
     plan.observers = observers_for(load, host, sizes.places);
     plan.shared = true;
     plan.shared = control_cores(plan, sizes, load, costs) <
-                  shared_below * host.cores * host.planned_share;
+                  max_shared_utilization * host.cores * host.planned_share;
     add_entry_limits(plan, sizes, host, costs);
     add_node_limits(plan, sizes, host, costs);
     add_control_limits(plan, sizes, host, load, costs);
@@ -277,7 +289,7 @@
                     sizes.name, plan.feasible() ? "fits" : "does not fit",
                     plan.entry_hosts, plan.control_hosts(), plan.voters,
                     plan.observers, plan.shared ? ", on the same hosts" : "",
-                    to_string(plan.first_limit().which), "limit", "used",
+                    to_string(plan.binding_limit().which), "limit", "used",
                     "allowed", "share");
     for (const limit_use& use : plan.limits)
     {
--- a/packages/plan/src/read.cpp
+++ b/packages/plan/src/read.cpp
@@ -25,12 +25,12 @@
 
 const json* find_slope(const json& slopes, std::string_view name)
 {
-    const auto named = [name](const json& slope)
+    const auto has_name = [name](const json& slope)
     {
         return slope.is_object() && slope.contains("name") &&
                slope["name"] == name;
     };
-    const auto found = std::find_if(slopes.begin(), slopes.end(), named);
+    const auto found = std::find_if(slopes.begin(), slopes.end(), has_name);
     return found == slopes.end() ? nullptr : &*found;
 }
 
@@ -63,7 +63,7 @@
     return cost_line{*fixed, *per_unit, *relative_error};
 }
 
-// A name of the plan file and what to do with its number.
+// A numeric field of the plan file and the function that stores its value.
 struct number_field
 {
     const char* name;
@@ -126,10 +126,11 @@
     };
 }
 
-// Stores the numbers of an object; `others` are names that it may hold too.
-result<void> read_numbers(const json& object, const std::string& place,
+// Stores the numeric fields of an object. `other_names` are further names that
+// it may contain; `path_prefix` precedes the name of a field in errors.
+result<void> read_numbers(const json& object, const std::string& path_prefix,
                           const std::vector<number_field>& fields,
-                          const std::vector<std::string>& others)
+                          const std::vector<std::string>& other_names)
 {
     for (const auto& [name, value] : object.items())
     {
@@ -137,10 +138,10 @@
         const bool known = std::any_of(fields.begin(), fields.end(),
                                        [&key](const number_field& f)
                                        { return f.name == key; });
-        if (!known &&
-            std::find(others.begin(), others.end(), key) == others.end())
+        if (!known && std::find(other_names.begin(), other_names.end(), key) ==
+                          other_names.end())
         {
-            return fail(error_kind::invalid, place + key, "is not known");
+            return fail(error_kind::invalid, path_prefix + key, "is not known");
         }
     }
     for (const number_field& field : fields)
@@ -150,11 +151,11 @@
             continue;
         }
         const auto value = number_at(object, field.name);
-        // A huge count would not fit the integers that it is stored in.
-        constexpr double greatest = 1.0e15;
-        if (!value || !(*value > 0.0) || *value > greatest)
+        // A larger count could overflow the integer in which it is stored.
+        constexpr double max_value = 1.0e15;
+        if (!value || !(*value > 0.0) || *value > max_value)
         {
-            return fail(error_kind::invalid, place + field.name,
+            return fail(error_kind::invalid, path_prefix + field.name,
                         "must be a number above 0 and at most 1e15");
         }
         field.store(*value);
--- a/packages/plan/test/plan_test.cpp
+++ b/packages/plan/test/plan_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Costs round enough to work a plan out by hand.
+// Round costs, with which a plan can be computed by hand.
 measured_costs round_costs()
 {
     measured_costs::lines_type lines{};
@@ -31,7 +31,7 @@
     return measured_costs(lines);
 }
 
-deployment small()
+deployment small_deployment()
 {
     deployment sizes;
     sizes.name = "small";
@@ -57,68 +57,70 @@
     return plan.limits.front();
 }
 
-TEST(capacity_plan, counts_entry_hosts_by_hand)
+TEST(capacity_plan, computes_entry_hosts_for_processor_and_network)
 {
-    const capacity_plan plan = make_plan(small(), {}, round_costs());
-    // 10^6 packets of 100 + 10 * 5 + 2 * 1000 ns are 2.15 cores; a host plans
-    // for 2.4. The network carries 2 * 10^8 of 0.75 * 10^8 bytes a second, so
-    // three hosts are needed after a place is lost: two in each of three.
+    const capacity_plan plan = make_plan(small_deployment(), {}, round_costs());
+    // 10^6 packets of 100 + 10 * 5 + 2 * 1000 ns take 2.15 cores; the planned
+    // capacity of a host is 2.4. The network load is 2 * 10^8 bytes per second
+    // at a planned capacity of 0.75 * 10^8 per host, so that three hosts must
+    // remain after the loss of a data centre: two in each of the three.
     EXPECT_EQ(plan.entry_hosts, 6U);
     EXPECT_DOUBLE_EQ(use_of(plan, limit::entry_processor).used, 2.15 / 4);
     EXPECT_DOUBLE_EQ(use_of(plan, limit::entry_network).used, 2.0e8 / 4);
-    EXPECT_EQ(plan.first_limit().which, limit::entry_network);
+    EXPECT_EQ(plan.binding_limit().which, limit::entry_network);
     EXPECT_TRUE(plan.feasible());
 }
 
-TEST(capacity_plan, small_systems_share_their_control_hosts)
+TEST(capacity_plan, small_deployments_share_control_hosts)
 {
-    const capacity_plan plan = make_plan(small(), {}, round_costs());
+    const capacity_plan plan = make_plan(small_deployment(), {}, round_costs());
     EXPECT_TRUE(plan.shared);
     EXPECT_EQ(plan.control_hosts(), 3U);
 }
 
-TEST(capacity_plan, names_the_limit_that_is_passed)
+TEST(capacity_plan, reports_an_exceeded_limit_first)
 {
-    deployment sizes = small();
+    deployment sizes = small_deployment();
     sizes.upstreams = 1000;
     sizes.open_flows = 3000000;
     const capacity_plan plan = make_plan(sizes, {}, round_costs());
     EXPECT_FALSE(plan.feasible());
-    EXPECT_EQ(plan.first_limit().which, limit::upstream_connections);
-    EXPECT_DOUBLE_EQ(plan.first_limit().share(), 1.5);
+    EXPECT_EQ(plan.binding_limit().which, limit::upstream_connections);
+    EXPECT_DOUBLE_EQ(plan.binding_limit().share(), 1.5);
     EXPECT_NE(to_text(sizes, plan).find("does not fit"), std::string::npos);
 }
 
-TEST(capacity_plan, control_on_a_node_grows_with_bursts_of_changes)
+TEST(capacity_plan, bursts_of_changes_load_the_network_of_a_node)
 {
-    deployment sizes = small();
+    deployment sizes = small_deployment();
     sizes.changes_per_day = 86400.0;
     sizes.burst_changes_per_minute = 6000.0;
     const capacity_plan plan = make_plan(sizes, {}, round_costs());
     EXPECT_DOUBLE_EQ(use_of(plan, limit::node_control_network).used,
                      100.0 * 200.0 + 30.0 + 128.0);
     EXPECT_FALSE(plan.feasible());
-    EXPECT_EQ(plan.first_limit().which, limit::node_control_network);
+    EXPECT_EQ(plan.binding_limit().which, limit::node_control_network);
 }
 
-TEST(capacity_plan, each_observer_serves_so_many_nodes)
+TEST(capacity_plan, the_number_of_observers_follows_from_the_sessions)
 {
-    deployment sizes = small();
+    deployment sizes = small_deployment();
     sizes.upstreams = 40000;
     sizes.entry_hosts = 960;
     sizes.places = 2;
     const capacity_plan plan = make_plan(sizes, {}, round_costs());
-    // 40,960 sessions are ten observers, and as many again in the other place.
+    // 40,960 sessions need ten observers, and ten more in the other data
+    // centre.
     EXPECT_EQ(plan.observers, 20U);
     EXPECT_EQ(plan.entry_hosts, 960U);
 }
 
-TEST(capacity_plan, more_load_never_needs_fewer_hosts)
+TEST(capacity_plan, entry_hosts_do_not_decrease_with_more_packets)
 {
     std::uint64_t before = 0;
     for (double packets = 1.0e3; packets < 1.0e9; packets *= 2.0)
     {
-        deployment sizes = small();
+        deployment sizes = small_deployment();
         sizes.packets_per_second = packets;
         const auto plan = make_plan(sizes, {}, round_costs());
         EXPECT_GE(plan.entry_hosts, before);
@@ -146,7 +148,7 @@
     EXPECT_DOUBLE_EQ(read->host.control_cores, 0.012);
 }
 
-TEST(plan_file, names_the_place_of_an_error)
+TEST(plan_file, reports_the_path_of_an_invalid_field)
 {
     const auto broken = [](const std::string& from, const std::string& to)
     {
@@ -163,13 +165,13 @@
     EXPECT_EQ(broken("}", ""), "");
 }
 
-TEST(measured_costs, the_shipped_slopes_hold_every_cost)
+TEST(measured_costs, the_embedded_slopes_contain_every_cost)
 {
     const auto read = read_costs(shipped_costs_text());
     ASSERT_TRUE(read) << to_string(read.error());
 }
 
-TEST(measured_costs, a_missing_cost_is_named)
+TEST(measured_costs, reports_the_name_of_a_missing_cost)
 {
     std::string text(shipped_costs_text());
     text.replace(text.find("agent_packet_ns"), 5, "other");
