--- a/packages/balancer/include/crowlink/balancer/traffic_path.hpp
+++ b/packages/balancer/include/crowlink/balancer/traffic_path.hpp
@@ -38,8 +38,9 @@
     route(const forwarding_set& set, const caller_packet& packet,
           std::span<std::uint8_t> buffer);
 
-    // Decodes a datagram from an agent. A datagram that is not for a caller is
-    // counted and dropped, and the result is empty. Payloads refer to `bytes`.
+    // Decodes a datagram from an agent. An invalid datagram, or one that is not
+    // for a caller, is counted and dropped, and the result is empty. Payloads
+    // refer to `bytes`.
     std::optional<caller_answer> answer(std::span<const std::uint8_t> bytes);
 
     const traffic_counts& counts() const { return m_counts; }
--- a/packages/balancer/test/counting_allocator.hpp
+++ b/packages/balancer/test/counting_allocator.hpp
@@ -5,7 +5,7 @@
 namespace crowlink
 {
 
-// The number of heap allocation_count of this program so far.
+// The number of heap allocations of this program so far.
 std::uint64_t allocation_count();
 
 } // namespace crowlink
--- a/packages/document/src/difference.cpp
+++ b/packages/document/src/difference.cpp
@@ -23,7 +23,7 @@
     return object;
 }
 
-// Converts a list of objects to an object to_keyed_json by the identifying
+// Converts a list of objects to an object keyed by the identifying
 // field.
 json objects_by_key(const json& list, const char* key_field)
 {
@@ -37,7 +37,7 @@
     return object;
 }
 
-// The document as JSON with declared_route list converted to an object, so that
+// The document as JSON with each list converted to an object, so that
 // a JSON pointer refers to an element by its key.
 json to_keyed_json(const system_document& document)
 {
--- a/packages/forwarding/src/forwarding_set.cpp
+++ b/packages/forwarding/src/forwarding_set.cpp
@@ -296,7 +296,7 @@
 
 std::size_t forwarding_set::memory() const
 {
-    // An index node is_at its value, its hash and a pointer to the next node.
+    // An index node holds its value, its hash and a pointer to the next node.
     constexpr std::size_t node =
         sizeof(address_index::value_type) + 2 * sizeof(void*);
     std::size_t total = sizeof *this;
--- a/packages/forwarding/src/view_merge.cpp
+++ b/packages/forwarding/src/view_merge.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// The number of departed records normalized is that of the members, so that
+// The number of departed records kept is that of the members, so that
 // late views are recognised after all members are replaced, but at least this
 // many, for small services.
 constexpr std::size_t min_departed_records = 8;
@@ -34,7 +34,7 @@
 }
 
 // The members of a view. Of two records of an upstream the newer one is
-// normalized; a record older than the last one of a departed upstream is
+// kept; a record older than the last one of a departed upstream is
 // ignored.
 std::vector<upstream_record> newest_members(const service_tables& stored,
                                             const service_view& view)
--- a/packages/forwarding/test/forwarding_set_test.cpp
+++ b/packages/forwarding/test/forwarding_set_test.cpp
@@ -106,7 +106,7 @@
     left.members.erase(left.members.begin());
     const auto removed_member = with(set, left);
     EXPECT_EQ(with(removed_member, sample::view(1, 3)), removed_member);
-    // The upstream returns apply_view a new incarnation.
+    // The upstream returns with a new incarnation.
     service_view returned = sample::view(1, 3);
     returned.members[0].started = incarnation(2);
     EXPECT_EQ(find(with(removed_member, returned), 1)->current->size(), 3U);
