--- a/packages/requests/include/crowlink/requests/admission_settings.hpp
+++ b/packages/requests/include/crowlink/requests/admission_settings.hpp
@@ -22,9 +22,9 @@
     // Requests that wait for a slot, of all kinds.
     std::size_t queue_limit = 32;
     // A request whose expected wait is longer is refused at once.
-    duration longest_wait = std::chrono::milliseconds(500);
+    duration max_wait = std::chrono::milliseconds(500);
     // Told to a refused caller at least.
-    duration least_retry_after = std::chrono::milliseconds(10);
+    duration min_retry_after = std::chrono::milliseconds(10);
     // The time that a request of weight 1 is taken to run until one of its
     // kind has been observed.
     duration assumed_run_time = std::chrono::milliseconds(10);
--- a/packages/requests/include/crowlink/requests/at_most_once.hpp
+++ b/packages/requests/include/crowlink/requests/at_most_once.hpp
@@ -3,7 +3,7 @@
 #include "crowlink/base/ids.hpp"
 #include "crowlink/base/time.hpp"
 #include "crowlink/requests/memory_limits.hpp"
-#include "crowlink/requests/sighting.hpp"
+#include "crowlink/requests/sequence_lookup.hpp"
 #include "crowlink/requests/ticket.hpp"
 
 #include <cstddef>
@@ -41,8 +41,8 @@
 
     // Looks a sequence up and remembers it if it is fresh. What lies below
     // `settled_below` is forgotten and never fresh again.
-    sighting sight(time_point now, const ticket& under, std::uint64_t sequence,
-                   std::uint64_t settled_below);
+    sequence_lookup sight(time_point now, const ticket& session_ticket,
+                          std::uint64_t sequence, std::uint64_t settled_below);
 
     // Remembers the answer of a pending request. Yields it for sending, or
     // null if the caller has settled the sequence meanwhile.
--- a/packages/requests/include/crowlink/requests/caller_settings.hpp
+++ b/packages/requests/include/crowlink/requests/caller_settings.hpp
@@ -31,10 +31,10 @@
     // The least wait after a refusal; doubles with each attempt.
     duration backoff = std::chrono::milliseconds(5);
     // How long a cancelled request waits for the agent's word.
-    duration cancel_wait = std::chrono::milliseconds(100);
+    duration cancel_timeout = std::chrono::milliseconds(100);
     // A path that heard nothing for this long asks again before it sends a
     // request that is not idempotent.
-    duration ticket_fresh_for = std::chrono::seconds(2);
+    duration ticket_validity = std::chrono::seconds(2);
 
     friend auto operator<=>(const caller_settings&,
                             const caller_settings&) = default;
--- a/packages/requests/include/crowlink/requests/memory_limits.hpp
+++ b/packages/requests/include/crowlink/requests/memory_limits.hpp
@@ -16,7 +16,7 @@
     std::size_t answer_bytes = std::size_t{16} << 20U;
     // A session that was not used for this long may be forgotten; until then
     // new ones are refused if there is no room.
-    duration keep = std::chrono::seconds(10);
+    duration session_idle_timeout = std::chrono::seconds(10);
 
     friend auto operator<=>(const memory_limits&,
                             const memory_limits&) = default;
--- a/packages/requests/include/crowlink/requests/part_assembly.hpp
+++ b/packages/requests/include/crowlink/requests/part_assembly.hpp
@@ -20,7 +20,7 @@
     std::size_t add(std::uint32_t part, std::uint32_t parts,
                     std::string_view body);
 
-    bool whole() const { return m_missing == 0 && !m_bodies.empty(); }
+    bool is_complete() const { return m_missing == 0 && !m_bodies.empty(); }
     std::size_t bytes() const { return m_bytes; }
 
     // The whole body. Requires whole(); leaves the assembly empty.
@@ -36,6 +36,6 @@
 std::uint32_t part_count(std::string_view body);
 
 // The bytes of one part of a body.
-std::string_view part_of(std::string_view body, std::uint32_t part);
+std::string_view body_slice(std::string_view body, std::uint32_t part);
 
 } // namespace crowlink
--- a/packages/requests/include/crowlink/requests/remembered_request.hpp
+++ b/packages/requests/include/crowlink/requests/remembered_request.hpp
@@ -20,7 +20,7 @@
     // Null while it is pending.
     std::unique_ptr<const request_answer> answer;
     // Its place among the answers in the order of their age.
-    std::uint64_t age = 0;
+    std::uint64_t answer_number = 0;
 };
 
 } // namespace crowlink
--- a/packages/requests/include/crowlink/requests/request_cancel.hpp
+++ b/packages/requests/include/crowlink/requests/request_cancel.hpp
@@ -14,7 +14,7 @@
 {
     request_id id;
     std::uint32_t attempt = 1;
-    ticket under;
+    ticket session_ticket;
     std::uint64_t sequence = 0;
 
     friend auto operator<=>(const request_cancel&,
--- a/packages/requests/include/crowlink/requests/request_part.hpp
+++ b/packages/requests/include/crowlink/requests/request_part.hpp
@@ -17,7 +17,7 @@
 {
     request_id id;
     std::uint32_t attempt = 1;
-    ticket under;
+    ticket session_ticket;
     std::uint64_t sequence = 0;
     // The caller never again sends a sequence of this session below this one.
     std::uint64_t settled_below = 0;
--- a/packages/requests/include/crowlink/requests/run_times.hpp
+++ b/packages/requests/include/crowlink/requests/run_times.hpp
@@ -22,16 +22,16 @@
     void observe(kind_index kind, duration run);
 
     // The observed mean, if there is one; else of() goes by the weight.
-    std::optional<duration> observed(kind_index kind) const
+    std::optional<duration> observed_mean(kind_index kind) const
     {
         return m_observed[kind];
     }
-    duration of(kind_index kind) const;
+    duration expected(kind_index kind) const;
 
     // The expected wait of a request of this kind that arrives now, with fair
     // queueing over the kinds that wait.
-    duration wait(kind_index kind, const kind_queues& queues,
-                  std::uint32_t slots) const;
+    duration expected_wait(kind_index kind, const kind_queues& queues,
+                           std::uint32_t slots) const;
 
     // The time in which all that waits will have started.
     duration drain_time(const kind_queues& queues, std::uint32_t slots) const;
--- a/packages/requests/include/crowlink/requests/sighting.hpp
+++ b/packages/requests/include/crowlink/requests/sequence_lookup.hpp
@@ -8,7 +8,7 @@
 {
 
 // What an at_most_once memory knows of a (ticket, sequence).
-enum class sighting_kind : std::uint8_t
+enum class sequence_status : std::uint8_t
 {
     // Never seen before, and remembered from now on: it may be run.
     fresh,
@@ -22,9 +22,9 @@
     stale,
 };
 
-struct sighting
+struct sequence_lookup
 {
-    sighting_kind kind = sighting_kind::stale;
+    sequence_status kind = sequence_status::stale;
     // Set for `fresh` and `known`; valid until the memory is next changed.
     remembered_request* request = nullptr;
 };
--- a/packages/requests/include/crowlink/requests/ticket.hpp
+++ b/packages/requests/include/crowlink/requests/ticket.hpp
@@ -13,7 +13,7 @@
 // drawn by the caller, so that no other caller can guess a ticket.
 struct ticket
 {
-    incarnation minted_by;
+    incarnation issued_by;
     std::uint64_t session = 0;
     std::uint64_t secret = 0;
 
--- a/packages/requests/include/crowlink/requests/udp_request_client.hpp
+++ b/packages/requests/include/crowlink/requests/udp_request_client.hpp
@@ -39,17 +39,17 @@
 
     // Does what is due, waits for datagrams until there is an outcome or for
     // at most this long, and yields the outcomes.
-    std::vector<request_outcome> poll(duration longest_wait);
+    std::vector<request_outcome> poll(duration max_wait);
 
     // Requests without an outcome yet.
     std::size_t outstanding() const;
 
 private:
-    class shell;
+    class impl;
 
-    explicit udp_request_client(std::unique_ptr<shell> opened);
+    explicit udp_request_client(std::unique_ptr<impl> opened);
 
-    std::unique_ptr<shell> m_shell;
+    std::unique_ptr<impl> m_impl;
 };
 
 } // namespace crowlink
--- a/packages/requests/src/admission_core.hpp
+++ b/packages/requests/src/admission_core.hpp
@@ -9,7 +9,7 @@
 #include "crowlink/requests/run_times.hpp"
 #include "crowlink/requests/work_queue.hpp"
 #include "job.hpp"
-#include "wakeups.hpp"
+#include "timer_queue.hpp"
 
 #include <optional>
 #include <string_view>
@@ -19,7 +19,7 @@
 {
 
 // Where a caller's message came from and when, and where effects go.
-struct arrival
+struct message_context
 {
     time_point now;
     const flow_key& flow;
@@ -41,45 +41,47 @@
     void apply(time_point now, const admission_settings& settings,
                admission_effects& effects);
     void advance(time_point now, admission_effects& effects);
-    time_point next_wakeup() const { return m_wakeups.next(); }
+    time_point next_wakeup() const { return m_timers.next_due(); }
     const admission_counts& counts() const { return m_counts; }
 
 private:
     // One overload for each message of a caller.
-    void take(const arrival& on, const open_session& message);
-    void take(const arrival& on, const request_part& message);
-    void take(const arrival& on, const request_cancel& message);
+    void handle(const message_context& context, const open_session& message);
+    void handle(const message_context& context, const request_part& message);
+    void handle(const message_context& context, const request_cancel& message);
 
     // Receiving.
-    void begin(const arrival& on, const request_part& message,
-               remembered_request& remembered);
-    void add_part(const arrival& on, const request_part& message, job& to);
-    void repeat_answer(const arrival& on, request_id id, std::uint32_t attempt,
-                       const request_answer& answer);
-    void refuse_stale(const arrival& on, request_id id, std::uint32_t attempt);
+    void create_job(const message_context& context, const request_part& message,
+                    remembered_request& remembered);
+    void add_part(const message_context& context, const request_part& message,
+                  job& target);
+    void resend_answer(const message_context& context, request_id id,
+                       std::uint32_t attempt, const request_answer& answer);
+    void refuse_stale(const message_context& context, request_id id,
+                      std::uint32_t attempt);
 
     // Queueing and running.
-    void admit(time_point now, job& whole, admission_effects& effects);
-    std::optional<answer_reason> refusal(time_point now,
-                                         const job& whole) const;
+    void admit(time_point now, job& received, admission_effects& effects);
+    std::optional<answer_reason> refusal_reason(time_point now,
+                                                const job& received) const;
     bool must_wait() const;
-    void start_what_can(time_point now, admission_effects& effects);
+    void start_queued(time_point now, admission_effects& effects);
     void start(time_point now, job& next, admission_effects& effects);
-    void stop(job& running, admission_effects& effects);
-    void refuse(job& of, answer_reason reason, admission_effects& effects);
-    void end(job& of, request_answer answer, admission_effects& effects);
-    void leave_slot(const job& of, admission_effects& effects);
-    void take_due(time_point now, job& due, admission_effects& effects);
-    request_answer answer_of(const job& run, upstream_answer& from) const;
+    void cancel_run(job& running, admission_effects& effects);
+    void refuse(job& target, answer_reason reason, admission_effects& effects);
+    void end(job& target, request_answer answer, admission_effects& effects);
+    void release_slot(const job& target, admission_effects& effects);
+    void on_timeout(time_point now, job& expired, admission_effects& effects);
+    request_answer convert_answer(const job& run, upstream_answer& from) const;
 
     // Settings.
-    std::optional<kind_index> kind_named(std::string_view name) const;
-    std::string kind_name(const job& of) const;
+    std::optional<kind_index> find_kind(std::string_view name) const;
+    std::string kind_name(const job& target) const;
     void renumber_kinds(const std::vector<request_kind>& before,
                         admission_effects& effects);
     duration retry_after() const;
-    void decide(admission_step step, const job& on, answer_reason reason,
-                admission_effects& effects);
+    void record_decision(admission_step step, const job& subject,
+                         answer_reason reason, admission_effects& effects);
     void send(const flow_key& flow, request_id id, std::uint32_t attempt,
               const request_answer& answer, admission_effects& effects);
 
@@ -89,7 +91,7 @@
     run_times m_run_times;
     work_queue<fair_order> m_queue;
     std::unordered_map<std::uint64_t, job> m_jobs;
-    wakeups m_wakeups;
+    timer_queue m_timers;
     std::uint64_t m_last_job = 0;
     std::size_t m_body_bytes = 0;
     bool m_upstream_up = true;
--- a/packages/requests/src/admission_receive.cpp
+++ b/packages/requests/src/admission_receive.cpp
@@ -27,181 +27,192 @@
         ++m_counts.invalid;
         return;
     }
-    const arrival on{now, flow, effects};
-    std::visit([this, &on](const auto& taken) { take(on, taken); }, *message);
+    const message_context context{now, flow, effects};
+    std::visit([this, &context](const auto& decoded)
+               { handle(context, decoded); },
+               *message);
 }
 
-void admission_core::take(const arrival& on, const open_session& message)
+void admission_core::handle(const message_context& context,
+                            const open_session& message)
 {
     session_opened opened;
     opened.secret = message.secret;
     opened.draining = m_draining;
     if (!m_draining)
     {
-        opened.granted = m_memory.open(on.now, message.secret);
+        opened.granted = m_memory.open(context.now, message.secret);
     }
     if (!opened.granted && !m_draining)
     {
-        opened.retry_after = m_settings.memory.keep;
+        opened.retry_after = m_settings.memory.session_idle_timeout;
     }
     m_counts.sessions = m_memory.sessions();
-    on.effects.to_callers.push_back({on.flow, encode(agent_message(opened))});
+    context.effects.to_callers.push_back(
+        {context.flow, encode(agent_message(opened))});
 }
 
-void admission_core::take(const arrival& on, const request_part& message)
+void admission_core::handle(const message_context& context,
+                            const request_part& message)
 {
-    const sighting seen = m_memory.sight(
-        on.now, message.under, message.sequence, message.settled_below);
-    switch (seen.kind)
+    const sequence_lookup lookup =
+        m_memory.sight(context.now, message.session_ticket, message.sequence,
+                       message.settled_below);
+    switch (lookup.kind)
     {
-    case sighting_kind::fresh:
-        begin(on, message, *seen.request);
+    case sequence_status::fresh:
+        create_job(context, message, *lookup.request);
         return;
-    case sighting_kind::known:
+    case sequence_status::known:
         break;
-    case sighting_kind::stale:
-        refuse_stale(on, message.id, message.attempt);
+    case sequence_status::stale:
+        refuse_stale(context, message.id, message.attempt);
         return;
-    case sighting_kind::settled:
-    case sighting_kind::beyond_window:
+    case sequence_status::settled:
+    case sequence_status::beyond_window:
         ++m_counts.duplicates;
         return;
     }
-    if (seen.request->id != message.id)
+    if (lookup.request->id != message.id)
     {
         // One request must never get the answer to another.
         ++m_counts.invalid;
         return;
     }
-    if (seen.request->answer == nullptr)
+    if (lookup.request->answer == nullptr)
     {
-        add_part(on, message, m_jobs.at(seen.request->job));
+        add_part(context, message, m_jobs.at(lookup.request->job));
         return;
     }
     ++m_counts.duplicates;
     // One answer for a resend of several parts.
     if (message.part == 0)
     {
-        repeat_answer(on, message.id, message.attempt, *seen.request->answer);
+        resend_answer(context, message.id, message.attempt,
+                      *lookup.request->answer);
     }
 }
 
-void admission_core::take(const arrival& on, const request_cancel& message)
+void admission_core::handle(const message_context& context,
+                            const request_cancel& message)
 {
-    const sighting seen =
-        m_memory.sight(on.now, message.under, message.sequence, 0);
-    if (seen.kind == sighting_kind::stale)
+    const sequence_lookup lookup = m_memory.sight(
+        context.now, message.session_ticket, message.sequence, 0);
+    if (lookup.kind == sequence_status::stale)
     {
-        refuse_stale(on, message.id, message.attempt);
+        refuse_stale(context, message.id, message.attempt);
         return;
     }
-    if (seen.request == nullptr)
+    if (lookup.request == nullptr)
     {
         ++m_counts.duplicates;
         return;
     }
-    if (seen.kind == sighting_kind::known && seen.request->id != message.id)
+    if (lookup.kind == sequence_status::known &&
+        lookup.request->id != message.id)
     {
         ++m_counts.invalid;
         return;
     }
-    if (seen.kind == sighting_kind::fresh)
+    if (lookup.kind == sequence_status::fresh)
     {
-        seen.request->id = message.id;
+        lookup.request->id = message.id;
         // Remembered, so that the request itself does not run if it is late.
         const request_answer* answer = m_memory.finish(
-            message.under.session, message.sequence,
+            message.session_ticket.session, message.sequence,
             request_answer{verdict::not_run, answer_reason::cancelled, {}, {}});
-        repeat_answer(on, message.id, message.attempt, *answer);
+        resend_answer(context, message.id, message.attempt, *answer);
         return;
     }
-    if (seen.request->answer != nullptr)
+    if (lookup.request->answer != nullptr)
     {
-        repeat_answer(on, message.id, message.attempt, *seen.request->answer);
+        resend_answer(context, message.id, message.attempt,
+                      *lookup.request->answer);
         return;
     }
-    job& pending = m_jobs.at(seen.request->job);
-    pending.flow = on.flow;
+    job& pending = m_jobs.at(lookup.request->job);
+    pending.flow = context.flow;
     if (pending.state == job_state::running)
     {
-        stop(pending, on.effects);
+        cancel_run(pending, context.effects);
         return;
     }
-    refuse(pending, answer_reason::cancelled, on.effects);
+    refuse(pending, answer_reason::cancelled, context.effects);
 }
 
-void admission_core::begin(const arrival& on, const request_part& message,
-                           remembered_request& remembered)
+void admission_core::create_job(const message_context& context,
+                                const request_part& message,
+                                remembered_request& remembered)
 {
     job fresh;
     fresh.number = ++m_last_job;
-    fresh.session = message.under.session;
+    fresh.session = message.session_ticket.session;
     fresh.sequence = message.sequence;
     fresh.id = message.id;
     fresh.attempt = message.attempt;
-    fresh.flow = on.flow;
-    fresh.deadline = on.now + message.remaining;
-    fresh.charged = job_overhead;
-    m_body_bytes += fresh.charged;
+    fresh.flow = context.flow;
+    fresh.deadline = context.now + message.remaining;
+    fresh.charged_bytes = job_overhead;
+    m_body_bytes += fresh.charged_bytes;
     remembered.job = fresh.number;
     remembered.id = message.id;
     job& kept = m_jobs.emplace(fresh.number, std::move(fresh)).first->second;
     if (m_draining)
     {
-        refuse(kept, answer_reason::draining, on.effects);
+        refuse(kept, answer_reason::draining, context.effects);
         return;
     }
-    const std::optional<kind_index> kind = kind_named(message.kind);
+    const std::optional<kind_index> kind = find_kind(message.kind);
     if (!kind || (message.idempotent && !m_settings.kinds[*kind].idempotent))
     {
-        refuse(kept, answer_reason::wrong_kind, on.effects);
+        refuse(kept, answer_reason::wrong_kind, context.effects);
         return;
     }
     kept.kind = *kind;
     kept.weight = m_settings.kinds[*kind].weight;
-    m_wakeups.set(kept.number, kept.deadline);
-    add_part(on, message, kept);
+    m_timers.set(kept.number, kept.deadline);
+    add_part(context, message, kept);
 }
 
-void admission_core::add_part(const arrival& on, const request_part& message,
-                              job& to)
+void admission_core::add_part(const message_context& context,
+                              const request_part& message, job& target)
 {
-    to.flow = on.flow;
-    if (to.state != job_state::receiving)
+    target.flow = context.flow;
+    if (target.state != job_state::receiving)
     {
         ++m_counts.duplicates;
         return;
     }
     const std::size_t added =
-        to.assembly.add(message.part, message.parts, message.body);
-    to.charged += added;
+        target.assembly.add(message.part, message.parts, message.body);
+    target.charged_bytes += added;
     m_body_bytes += added;
     if (m_body_bytes > m_settings.body_bytes_limit)
     {
-        refuse(to, answer_reason::overloaded, on.effects);
+        refuse(target, answer_reason::overloaded, context.effects);
         return;
     }
-    if (to.assembly.whole())
+    if (target.assembly.is_complete())
     {
-        to.body = to.assembly.take();
-        admit(on.now, to, on.effects);
+        target.body = target.assembly.take();
+        admit(context.now, target, context.effects);
     }
 }
 
-void admission_core::repeat_answer(const arrival& on, request_id id,
-                                   std::uint32_t attempt,
+void admission_core::resend_answer(const message_context& context,
+                                   request_id id, std::uint32_t attempt,
                                    const request_answer& answer)
 {
-    send(on.flow, id, attempt, answer, on.effects);
+    send(context.flow, id, attempt, answer, context.effects);
 }
 
-void admission_core::refuse_stale(const arrival& on, request_id id,
+void admission_core::refuse_stale(const message_context& context, request_id id,
                                   std::uint32_t attempt)
 {
-    send(on.flow, id, attempt,
+    send(context.flow, id, attempt,
          request_answer{
              verdict::may_have_run, answer_reason::stale_ticket, {}, {}},
-         on.effects);
+         context.effects);
 }
 
 void admission_core::send(const flow_key& flow, request_id id,
@@ -217,7 +228,7 @@
     part.parts = part_count(answer.body);
     for (part.part = 0; part.part < part.parts; ++part.part)
     {
-        part.body = std::string(part_of(answer.body, part.part));
+        part.body = std::string(body_slice(answer.body, part.part));
         effects.to_callers.push_back({flow, encode(agent_message(part))});
     }
 }
--- a/packages/requests/src/admission_run.cpp
+++ b/packages/requests/src/admission_run.cpp
@@ -54,12 +54,12 @@
     {
         m_run_times.observe(run.kind, now - run.started);
     }
-    end(run, answer_of(run, *answer), effects);
-    start_what_can(now, effects);
+    end(run, convert_answer(run, *answer), effects);
+    start_queued(now, effects);
 }
 
-request_answer admission_core::answer_of(const job& run,
-                                         upstream_answer& from) const
+request_answer admission_core::convert_answer(const job& run,
+                                              upstream_answer& from) const
 {
     request_answer answer;
     answer.outcome = from.outcome;
@@ -68,8 +68,8 @@
         answer.body = std::move(from.body);
         return answer;
     }
-    answer.reason = run.stopping ? answer_reason::cancelled
-                                 : answer_reason::upstream_refused;
+    answer.reason = run.cancel_sent ? answer_reason::cancelled
+                                    : answer_reason::upstream_refused;
     answer.retry_after = std::max(from.retry_after, retry_after());
     return answer;
 }
@@ -96,64 +96,66 @@
 void admission_core::upstream_ready(time_point now, admission_effects& effects)
 {
     m_upstream_up = true;
-    start_what_can(now, effects);
+    start_queued(now, effects);
 }
 
 void admission_core::advance(time_point now, admission_effects& effects)
 {
-    while (const std::optional<std::uint64_t> due = m_wakeups.take(now))
+    while (const std::optional<std::uint64_t> due = m_timers.pop_due(now))
     {
-        take_due(now, m_jobs.at(*due), effects);
+        on_timeout(now, m_jobs.at(*due), effects);
     }
-    start_what_can(now, effects);
+    start_queued(now, effects);
 }
 
-void admission_core::take_due(time_point now, job& due,
-                              admission_effects& effects)
+void admission_core::on_timeout(time_point now, job& expired,
+                                admission_effects& effects)
 {
-    if (due.state != job_state::running)
+    if (expired.state != job_state::running)
     {
-        refuse(due, answer_reason::expired, effects);
+        refuse(expired, answer_reason::expired, effects);
         return;
     }
-    const time_point abandoned = due.deadline + m_settings.abandon_after;
+    const time_point abandoned = expired.deadline + m_settings.abandon_after;
     if (now >= abandoned)
     {
-        refuse(due, answer_reason::upstream_lost, effects);
+        refuse(expired, answer_reason::upstream_lost, effects);
         return;
     }
-    stop(due, effects);
-    m_wakeups.set(due.number, abandoned);
+    cancel_run(expired, effects);
+    m_timers.set(expired.number, abandoned);
 }
 
-void admission_core::admit(time_point now, job& whole,
+void admission_core::admit(time_point now, job& received,
                            admission_effects& effects)
 {
-    if (const std::optional<answer_reason> reason = refusal(now, whole))
+    if (const std::optional<answer_reason> reason =
+            refusal_reason(now, received))
     {
-        refuse(whole, *reason, effects);
+        refuse(received, *reason, effects);
         return;
     }
-    whole.state = job_state::queued;
+    received.state = job_state::queued;
     ++m_counts.queued;
-    decide(admission_step::queued, whole, answer_reason::answered, effects);
+    record_decision(admission_step::queued, received, answer_reason::answered,
+                    effects);
     const std::optional<queued_work> shed =
-        m_queue.push({whole.number, whole.kind, whole.weight, 0});
+        m_queue.push({received.number, received.kind, received.weight, 0});
     if (shed)
     {
         refuse(m_jobs.at(shed->job), answer_reason::overloaded, effects);
     }
-    start_what_can(now, effects);
+    start_queued(now, effects);
 }
 
-std::optional<answer_reason> admission_core::refusal(time_point now,
-                                                     const job& whole) const
+std::optional<answer_reason>
+admission_core::refusal_reason(time_point now, const job& received) const
 {
     if (!m_upstream_up)
     {
         return answer_reason::upstream_lost;
     }
-    if (now >= whole.deadline)
+    if (now >= received.deadline)
     {
         return answer_reason::expired;
     }
@@ -161,11 +163,12 @@
     {
         return std::nullopt;
     }
-    const duration run = m_run_times.of(whole.kind);
+    const duration run = m_run_times.expected(received.kind);
     const duration wait =
-        run / m_settings.slots +
-        m_run_times.wait(whole.kind, m_queue.queues(), m_settings.slots);
-    if (wait > m_settings.longest_wait || now + wait + run > whole.deadline)
+        run / m_settings.slots + m_run_times.expected_wait(received.kind,
+                                                           m_queue.queues(),
+                                                           m_settings.slots);
+    if (wait > m_settings.max_wait || now + wait + run > received.deadline)
     {
         return answer_reason::overloaded;
     }
@@ -177,7 +180,7 @@
     return m_counts.running >= m_settings.slots || m_queue.size() > 0;
 }
 
-void admission_core::start_what_can(time_point now, admission_effects& effects)
+void admission_core::start_queued(time_point now, admission_effects& effects)
 {
     while (m_upstream_up && m_counts.running < m_settings.slots)
     {
@@ -205,8 +208,8 @@
     m_counts.running_weight += next.weight;
     next.state = job_state::running;
     next.started = now;
-    m_body_bytes -= next.charged;
-    next.charged = 0;
+    m_body_bytes -= next.charged_bytes;
+    next.charged_bytes = 0;
     effects.work_started.push_back(next.weight);
     upstream_run run;
     run.id = {m_own, next.number};
@@ -214,77 +217,77 @@
     run.remaining = next.deadline - now;
     run.body = std::move(next.body);
     effects.to_upstream.push_back(encode(upstream_command(run)));
-    decide(admission_step::started, next, answer_reason::answered, effects);
+    record_decision(admission_step::started, next, answer_reason::answered,
+                    effects);
 }
 
-void admission_core::stop(job& running, admission_effects& effects)
+void admission_core::cancel_run(job& running, admission_effects& effects)
 {
-    if (!running.stopping)
+    if (!running.cancel_sent)
     {
-        running.stopping = true;
+        running.cancel_sent = true;
         const upstream_cancel cancel{{m_own, running.number}};
         effects.to_upstream.push_back(encode(upstream_command(cancel)));
     }
 }
 
-void admission_core::refuse(job& of, answer_reason reason,
+void admission_core::refuse(job& target, answer_reason reason,
                             admission_effects& effects)
 {
     request_answer answer;
-    answer.outcome = of.state == job_state::running ? verdict::may_have_run
-                                                    : verdict::not_run;
+    answer.outcome = target.state == job_state::running ? verdict::may_have_run
+                                                        : verdict::not_run;
     answer.reason = reason;
     if (reason == answer_reason::overloaded ||
         reason == answer_reason::upstream_lost)
     {
         answer.retry_after = retry_after();
     }
-    end(of, std::move(answer), effects);
+    end(target, std::move(answer), effects);
 }
 
-void admission_core::end(job& of, request_answer answer,
+void admission_core::end(job& target, request_answer answer,
                          admission_effects& effects)
 {
-    if (of.state == job_state::running)
+    if (target.state == job_state::running)
     {
-        leave_slot(of, effects);
+        release_slot(target, effects);
     }
-    else if (of.state == job_state::queued)
+    else if (target.state == job_state::queued)
     {
-        m_queue.remove(of.kind, of.number);
+        m_queue.remove(target.kind, target.number);
         --m_counts.queued;
     }
     const bool refused = answer.outcome == verdict::not_run;
     m_counts.refused += refused ? 1 : 0;
-    decide(refused ? admission_step::refused : admission_step::ended, of,
-           answer.reason, effects);
-    m_body_bytes -= of.charged;
-    m_wakeups.clear(of.number);
+    record_decision(refused ? admission_step::refused : admission_step::ended,
+                    target, answer.reason, effects);
+    m_body_bytes -= target.charged_bytes;
+    m_timers.clear(target.number);
     const request_answer* kept =
-        m_memory.finish(of.session, of.sequence, std::move(answer));
+        m_memory.finish(target.session, target.sequence, std::move(answer));
     if (kept != nullptr)
     {
-        send(of.flow, of.id, of.attempt, *kept, effects);
+        send(target.flow, target.id, target.attempt, *kept, effects);
     }
-    m_jobs.erase(of.number);
+    m_jobs.erase(target.number);
 }
 
-void admission_core::leave_slot(const job& of, admission_effects& effects)
+void admission_core::release_slot(const job& target, admission_effects& effects)
 {
     ++m_counts.ended;
     --m_counts.running;
-    m_counts.running_weight -= of.weight;
-    effects.work_ended.push_back(of.weight);
+    m_counts.running_weight -= target.weight;
+    effects.work_ended.push_back(target.weight);
 }
 
 duration admission_core::retry_after() const
 {
-    return std::max(m_settings.least_retry_after,
+    return std::max(m_settings.min_retry_after,
                     m_run_times.drain_time(m_queue.queues(), m_settings.slots));
 }
 
-std::optional<kind_index>
-admission_core::kind_named(std::string_view name) const
+std::optional<kind_index> admission_core::find_kind(std::string_view name) const
 {
     for (kind_index kind = 0; kind < m_settings.kinds.size(); ++kind)
     {
@@ -296,16 +299,19 @@
     return std::nullopt;
 }
 
-std::string admission_core::kind_name(const job& of) const
+std::string admission_core::kind_name(const job& target) const
 {
-    return of.kind < m_settings.kinds.size() ? m_settings.kinds[of.kind].name
-                                             : std::string();
+    return target.kind < m_settings.kinds.size()
+               ? m_settings.kinds[target.kind].name
+               : std::string();
 }
 
-void admission_core::decide(admission_step step, const job& on,
-                            answer_reason reason, admission_effects& effects)
+void admission_core::record_decision(admission_step step, const job& subject,
+                                     answer_reason reason,
+                                     admission_effects& effects)
 {
-    effects.decisions.push_back({step, on.flow, on.id, kind_name(on), reason});
+    effects.decisions.push_back(
+        {step, subject.flow, subject.id, kind_name(subject), reason});
 }
 
 void admission_core::apply(time_point now, const admission_settings& settings,
@@ -317,16 +323,15 @@
     m_run_times = run_times(weights_of(settings), settings.assumed_run_time);
     for (kind_index kind = 0; kind < before.size(); ++kind)
     {
-        const std::optional<kind_index> now_kind =
-            kind_named(before[kind].name);
-        const std::optional<duration> mean = observed.observed(kind);
-        if (now_kind && mean)
+        const std::optional<kind_index> new_kind = find_kind(before[kind].name);
+        const std::optional<duration> mean = observed.observed_mean(kind);
+        if (new_kind && mean)
         {
-            m_run_times.observe(*now_kind, *mean);
+            m_run_times.observe(*new_kind, *mean);
         }
     }
     renumber_kinds(before, effects);
-    start_what_can(now, effects);
+    start_queued(now, effects);
 }
 
 void admission_core::renumber_kinds(const std::vector<request_kind>& before,
@@ -334,20 +339,20 @@
 {
     work_queue<fair_order> old(m_settings.kinds.size(), m_settings.queue_limit);
     std::swap(old, m_queue);
-    std::vector<std::uint64_t> gone;
+    std::vector<std::uint64_t> removed;
     for (auto& entry : m_jobs)
     {
         job& each = entry.second;
         const std::optional<kind_index> kind =
             each.kind == no_kind ? std::nullopt
-                                 : kind_named(before[each.kind].name);
+                                 : find_kind(before[each.kind].name);
         each.kind = kind.value_or(no_kind);
         if (!kind && each.state != job_state::running)
         {
-            gone.push_back(each.number);
+            removed.push_back(each.number);
         }
     }
-    std::sort(gone.begin(), gone.end());
+    std::sort(removed.begin(), removed.end());
     while (const std::optional<queued_work> next = old.pop())
     {
         const job& waiting = m_jobs.at(next->job);
@@ -362,7 +367,7 @@
             refuse(m_jobs.at(shed->job), answer_reason::overloaded, effects);
         }
     }
-    for (const std::uint64_t number : gone)
+    for (const std::uint64_t number : removed)
     {
         refuse(m_jobs.at(number), answer_reason::wrong_kind, effects);
     }
--- a/packages/requests/src/caller_core.hpp
+++ b/packages/requests/src/caller_core.hpp
@@ -1,6 +1,5 @@
 #pragma once
 
-#include "answer_time.hpp"
 #include "caller_paths.hpp"
 #include "caller_request.hpp"
 #include "crowlink/base/random.hpp"
@@ -9,7 +8,8 @@
 #include "crowlink/requests/caller_settings.hpp"
 #include "crowlink/requests/retry_budget.hpp"
 #include "crowlink/requests/session_opened.hpp"
-#include "wakeups.hpp"
+#include "response_time_estimator.hpp"
+#include "timer_queue.hpp"
 
 #include <optional>
 #include <set>
@@ -25,7 +25,7 @@
 public:
     caller_core(const caller_settings& settings, seeded_random random);
 
-    request_id submit(time_point now, outgoing_request wanted,
+    request_id submit(time_point now, outgoing_request outgoing,
                       caller_effects& effects);
     void cancel(time_point now, request_id id, caller_effects& effects);
     void receive(time_point now, path_index path, std::string_view datagram,
@@ -37,13 +37,14 @@
 
 private:
     // Requests.
-    std::optional<answer_reason> refusal(const outgoing_request& wanted) const;
-    bool place(time_point now, caller_request& request,
-               caller_effects& effects);
-    void place_waiting(time_point now, caller_effects& effects);
+    std::optional<answer_reason>
+    refusal_reason(const outgoing_request& outgoing) const;
+    bool assign_path(time_point now, caller_request& request,
+                     caller_effects& effects);
+    void assign_waiting(time_point now, caller_effects& effects);
     std::optional<time_point>
     confirmed_since(time_point now, const caller_request& request) const;
-    duration resend_time(const caller_attempt& attempt) const;
+    duration resend_timeout(const caller_attempt& attempt) const;
     std::optional<path_index> choose_path(time_point now,
                                           const caller_request& request) const;
     void begin_attempt(time_point now, caller_request& request, path_index path,
@@ -52,52 +53,55 @@
                       std::size_t index, caller_effects& effects);
     void send_cancel(const caller_request& request, std::size_t index,
                      caller_effects& effects);
-    void take_due(time_point now, caller_request& due, caller_effects& effects);
+    void on_timeout(time_point now, caller_request& request,
+                    caller_effects& effects);
     void resend(time_point now, caller_request& request,
                 caller_effects& effects);
-    void wait_until(const caller_request& request, time_point due);
+    void schedule_wakeup(const caller_request& request, time_point due);
     void finish(caller_request& request, request_answer answer,
                 caller_effects& effects);
     void finish_without_answer(caller_request& request, answer_reason reason,
                                caller_effects& effects);
 
     // Answers.
-    void take(time_point now, path_index path, const session_opened& message,
-              caller_effects& effects);
-    void take(time_point now, path_index path, const answer_part& message,
-              caller_effects& effects);
-    void take_refusal(time_point now, caller_request& request,
-                      const answer_part& message, caller_effects& effects);
+    void handle(time_point now, path_index path, const session_opened& message,
+                caller_effects& effects);
+    void handle(time_point now, path_index path, const answer_part& message,
+                caller_effects& effects);
+    void handle_refusal(time_point now, caller_request& request,
+                        const answer_part& message, caller_effects& effects);
     bool may_retry(const caller_request& request, answer_reason reason) const;
     time_point retry_time(time_point now, const caller_request& request);
 
     // Paths.
-    void open(time_point now, path_index path, caller_effects& effects);
-    duration opening_time(const caller_path& opened) const;
-    path_index replace(path_index path, caller_effects& effects);
-    void leave(time_point now, path_index path, caller_effects& effects);
-    void settle(const caller_attempt& attempt, caller_effects& effects);
-    void open_next(time_point now, path_index path, caller_effects& effects);
-    void open_one(time_point now, const caller_request& request,
-                  caller_effects& effects);
-    void send_open(time_point now, path_index path, caller_effects& effects);
-    void take_due_path(time_point now, path_index path,
+    void open_path(time_point now, path_index path, caller_effects& effects);
+    duration opening_timeout(const caller_path& target) const;
+    path_index replace_path(path_index path, caller_effects& effects);
+    void leave_draining(time_point now, path_index path,
+                        caller_effects& effects);
+    void settle_attempt(const caller_attempt& attempt, caller_effects& effects);
+    void open_next_path(time_point now, path_index path,
+                        caller_effects& effects);
+    void open_path_for(time_point now, const caller_request& request,
                        caller_effects& effects);
+    void send_open(time_point now, path_index path, caller_effects& effects);
+    void on_path_timeout(time_point now, path_index path,
+                         caller_effects& effects);
     void refuse_waiting(time_point now, caller_effects& effects);
-    double draw(double low, double high);
+    double random_between(double low, double high);
 
     caller_settings m_settings;
     seeded_random m_random;
     std::uint64_t m_caller = 0;
     std::uint64_t m_last_number = 0;
     retry_budget m_budget;
-    answer_time m_answer_time;
+    response_time_estimator m_response_time;
     caller_paths m_paths;
     std::unordered_map<std::uint64_t, caller_request> m_requests;
     // Requests in phase waiting, oldest first.
     std::set<std::uint64_t> m_waiting;
-    wakeups m_request_wakeups;
-    wakeups m_path_wakeups;
+    timer_queue m_request_timers;
+    timer_queue m_path_timers;
     std::uint64_t m_ignored = 0;
 };
 
--- a/packages/requests/src/caller_messages.cpp
+++ b/packages/requests/src/caller_messages.cpp
@@ -19,7 +19,7 @@
     pb::request_part& part = *to.mutable_request();
     write(from.id, *part.mutable_id());
     part.set_attempt(from.attempt);
-    write(from.under, *part.mutable_under());
+    write(from.session_ticket, *part.mutable_under());
     part.set_sequence(from.sequence);
     part.set_settled_below(from.settled_below);
     part.set_kind(from.kind);
@@ -35,7 +35,7 @@
     pb::request_cancel& cancel = *to.mutable_cancel();
     write(from.id, *cancel.mutable_id());
     cancel.set_attempt(from.attempt);
-    write(from.under, *cancel.mutable_under());
+    write(from.session_ticket, *cancel.mutable_under());
     cancel.set_sequence(from.sequence);
 }
 
@@ -63,7 +63,7 @@
     request_part part;
     part.id = read(from.id());
     part.attempt = from.attempt();
-    part.under = read(from.under());
+    part.session_ticket = read(from.under());
     part.sequence = from.sequence();
     part.settled_below = from.settled_below();
     part.kind = std::move(*from.mutable_kind());
--- a/packages/requests/src/caller_path.cpp
+++ b/packages/requests/src/caller_path.cpp
@@ -5,27 +5,27 @@
 namespace crowlink::internal
 {
 
-void caller_path::begin_opening(std::uint64_t drawn)
+void caller_path::begin_opening(std::uint64_t new_secret)
 {
     if (!m_ticket)
     {
-        m_secret = drawn;
+        m_secret = new_secret;
     }
     m_opening = true;
-    ++m_tries;
+    ++m_openings_sent;
 }
 
 void caller_path::grant(time_point now, const ticket& fresh)
 {
     m_opening = false;
-    m_doubted = false;
-    m_tries = 0;
-    m_heard = now;
+    m_confirmation_required = false;
+    m_openings_sent = 0;
+    m_last_confirmed = now;
     m_refused_until = {};
     m_ticket = fresh;
 }
 
-void caller_path::drop(const ticket& stale)
+void caller_path::invalidate(const ticket& stale)
 {
     if (m_ticket == stale)
     {
@@ -33,20 +33,20 @@
     }
 }
 
-void caller_path::hear(time_point now, const ticket& under)
+void caller_path::confirm(time_point now, const ticket& session_ticket)
 {
-    if (m_ticket == under)
+    if (m_ticket == session_ticket)
     {
-        m_heard = now;
-        m_doubted = false;
+        m_last_confirmed = now;
+        m_confirmation_required = false;
     }
 }
 
-void caller_path::doubt(time_point sent)
+void caller_path::require_confirmation(time_point sent)
 {
-    if (m_heard <= sent)
+    if (m_last_confirmed <= sent)
     {
-        m_doubted = true;
+        m_confirmation_required = true;
     }
 }
 
@@ -58,8 +58,8 @@
 
 bool caller_path::needs_opening(std::optional<time_point> confirmed_since) const
 {
-    return !m_ticket || m_doubted ||
-           (confirmed_since && m_heard < *confirmed_since);
+    return !m_ticket || m_confirmation_required ||
+           (confirmed_since && m_last_confirmed < *confirmed_since);
 }
 
 std::uint64_t caller_path::take_sequence()
--- a/packages/requests/src/caller_path.hpp
+++ b/packages/requests/src/caller_path.hpp
@@ -15,24 +15,27 @@
 {
 public:
     // The tries are those of the path that this one replaces.
-    explicit caller_path(std::uint32_t tries = 0) : m_tries(tries) {}
+    explicit caller_path(std::uint32_t openings_sent = 0)
+        : m_openings_sent(openings_sent)
+    {
+    }
 
     const std::optional<ticket>& granted() const { return m_ticket; }
     bool opening() const { return m_opening; }
-    std::uint32_t tries() const { return m_tries; }
+    std::uint32_t openings_sent() const { return m_openings_sent; }
     std::uint64_t secret() const { return m_secret; }
     time_point refused_until() const { return m_refused_until; }
 
     // Starts an exchange for a ticket. The secret is kept while there is a
     // ticket to be confirmed, else `drawn` is the new one.
-    void begin_opening(std::uint64_t drawn);
-    void count_try() { ++m_tries; }
+    void begin_opening(std::uint64_t new_secret);
+    void count_opening() { ++m_openings_sent; }
     void end_opening() { m_opening = false; }
 
     // An attempt went unanswered: unless something was heard since it was sent,
     // the path is to be confirmed before it is used again.
-    void doubt(time_point sent);
-    bool doubted() const { return m_doubted; }
+    void require_confirmation(time_point sent);
+    bool confirmation_required() const { return m_confirmation_required; }
 
     // A ticket was granted: the one before, or another if the path now leads
     // to another agent.
@@ -40,10 +43,10 @@
     void refuse_until(time_point until) { m_refused_until = until; }
 
     // The agent no longer honours this ticket.
-    void drop(const ticket& stale);
+    void invalidate(const ticket& stale);
 
     // The agent answered under this ticket.
-    void hear(time_point now, const ticket& under);
+    void confirm(time_point now, const ticket& session_ticket);
 
     // Whether a request may be sent; one that runs at most once needs a ticket
     // that was confirmed after `confirmed_since`.
@@ -61,10 +64,10 @@
     std::optional<ticket> m_ticket;
     std::uint64_t m_secret = 0;
     bool m_opening = false;
-    bool m_doubted = false;
+    bool m_confirmation_required = false;
     // Openings that were sent since a ticket was granted.
-    std::uint32_t m_tries = 0;
-    time_point m_heard{};
+    std::uint32_t m_openings_sent = 0;
+    time_point m_last_confirmed{};
     time_point m_refused_until{};
     // Never starts anew: a path may come back to an agent that remembers its
     // secret and earlier sequences.
--- a/packages/requests/src/caller_paths.cpp
+++ b/packages/requests/src/caller_paths.cpp
@@ -10,7 +10,7 @@
     for (; m_next_index < std::max<path_index>(1, count); ++m_next_index)
     {
         m_paths.emplace(m_next_index, caller_path());
-        m_used.push_back(m_next_index);
+        m_active.push_back(m_next_index);
     }
 }
 
@@ -22,30 +22,30 @@
 
 bool caller_paths::in_use(path_index path) const
 {
-    return place_of(path) < m_used.size();
+    return position_of(path) < m_active.size();
 }
 
-path_index caller_paths::in_turn(std::size_t step) const
+path_index caller_paths::at_turn(std::size_t step) const
 {
-    return m_used[(m_turn + step) % m_used.size()];
+    return m_active[(m_turn + step) % m_active.size()];
 }
 
-void caller_paths::take_turn(path_index path)
+void caller_paths::advance_turn(path_index path)
 {
-    m_turn = place_of(path) + 1;
+    m_turn = position_of(path) + 1;
 }
 
 path_index caller_paths::after(path_index path) const
 {
-    return m_used[(place_of(path) + 1) % m_used.size()];
+    return m_active[(position_of(path) + 1) % m_active.size()];
 }
 
 path_index caller_paths::replace(path_index path)
 {
     const auto old = m_paths.find(path);
     const path_index fresh = m_next_index++;
-    m_paths.emplace(fresh, caller_path(old->second.tries()));
-    m_used[place_of(path)] = fresh;
+    m_paths.emplace(fresh, caller_path(old->second.openings_sent()));
+    m_active[position_of(path)] = fresh;
     if (old->second.settled())
     {
         m_paths.erase(old);
@@ -69,20 +69,20 @@
     return true;
 }
 
-time_point caller_paths::earliest_refusal() const
+time_point caller_paths::earliest_retry() const
 {
     time_point earliest = time_point::max();
-    for (const path_index path : m_used)
+    for (const path_index path : m_active)
     {
         earliest = std::min(earliest, at(path).refused_until());
     }
     return earliest;
 }
 
-std::size_t caller_paths::place_of(path_index path) const
+std::size_t caller_paths::position_of(path_index path) const
 {
-    const auto found = std::find(m_used.begin(), m_used.end(), path);
-    return static_cast<std::size_t>(found - m_used.begin());
+    const auto found = std::find(m_active.begin(), m_active.end(), path);
+    return static_cast<std::size_t>(found - m_active.begin());
 }
 
 } // namespace crowlink::internal
--- a/packages/requests/src/caller_paths.hpp
+++ b/packages/requests/src/caller_paths.hpp
@@ -18,7 +18,7 @@
 public:
     explicit caller_paths(path_index count);
 
-    std::size_t count() const { return m_used.size(); }
+    std::size_t count() const { return m_active.size(); }
 
     // A path that is in use or not yet settled; null for any other index.
     caller_path* find(path_index path);
@@ -27,8 +27,8 @@
     bool in_use(path_index path) const;
 
     // The paths in use in turn, from the one after that of the last request.
-    path_index in_turn(std::size_t step) const;
-    void take_turn(path_index path);
+    path_index at_turn(std::size_t step) const;
+    void advance_turn(path_index path);
     path_index after(path_index path) const;
 
     // Puts a new path in the place of one that is in use.
@@ -40,13 +40,13 @@
 
     // When the first path may be asked again of all that were refused a
     // ticket; in the past if one was not refused.
-    time_point earliest_refusal() const;
+    time_point earliest_retry() const;
 
 private:
-    std::size_t place_of(path_index path) const;
+    std::size_t position_of(path_index path) const;
 
     std::map<path_index, caller_path> m_paths;
-    std::vector<path_index> m_used;
+    std::vector<path_index> m_active;
     std::size_t m_turn = 0;
     path_index m_next_index = 0;
 };
--- a/packages/requests/src/caller_receive.cpp
+++ b/packages/requests/src/caller_receive.cpp
@@ -13,11 +13,11 @@
 {
 
 // A path's opening is resent at most this many doublings apart.
-constexpr std::uint32_t longest_doubling = 6;
+constexpr std::uint32_t max_doublings = 6;
 // Unanswered openings after which a new flow takes a path's place.
-constexpr std::uint32_t tries_of_a_path = 3;
+constexpr std::uint32_t max_openings_per_path = 3;
 
-bool worth_a_retry(answer_reason reason)
+bool is_retryable(answer_reason reason)
 {
     switch (reason)
     {
@@ -44,16 +44,17 @@
         ++m_ignored;
         return;
     }
-    std::visit([&](const auto& taken) { take(now, path, taken, effects); },
+    std::visit([&](const auto& decoded)
+               { handle(now, path, decoded, effects); },
                *message);
-    place_waiting(now, effects);
+    assign_waiting(now, effects);
 }
 
-void caller_core::take(time_point now, path_index path,
-                       const session_opened& message, caller_effects& effects)
+void caller_core::handle(time_point now, path_index path,
+                         const session_opened& message, caller_effects& effects)
 {
-    caller_path& opened = m_paths.at(path);
-    if (!opened.opening() || message.secret != opened.secret() ||
+    caller_path& target = m_paths.at(path);
+    if (!target.opening() || message.secret != target.secret() ||
         !m_paths.in_use(path))
     {
         ++m_ignored;
@@ -61,25 +62,25 @@
     }
     if (message.granted)
     {
-        opened.grant(now, *message.granted);
-        m_path_wakeups.clear(path);
+        target.grant(now, *message.granted);
+        m_path_timers.clear(path);
         return;
     }
     if (message.draining)
     {
-        leave(now, path, effects);
+        leave_draining(now, path, effects);
         return;
     }
-    opened.refuse_until(now + message.retry_after);
-    m_path_wakeups.set(path, opened.refused_until());
-    open_next(now, path, effects);
+    target.refuse_until(now + message.retry_after);
+    m_path_timers.set(path, target.refused_until());
+    open_next_path(now, path, effects);
     refuse_waiting(now, effects);
 }
 
 // Ends what waits if every path was refused until after its deadline.
 void caller_core::refuse_waiting(time_point now, caller_effects& effects)
 {
-    const time_point earliest = m_paths.earliest_refusal();
+    const time_point earliest = m_paths.earliest_retry();
     if (earliest <= now)
     {
         return;
@@ -96,8 +97,8 @@
     }
 }
 
-void caller_core::take(time_point now, path_index path,
-                       const answer_part& message, caller_effects& effects)
+void caller_core::handle(time_point now, path_index path,
+                         const answer_part& message, caller_effects& effects)
 {
     const auto found = m_requests.find(message.id.number);
     if (message.id.caller != m_caller || found == m_requests.end() ||
@@ -108,27 +109,26 @@
     }
     caller_request& request = found->second;
     caller_attempt& attempt = request.attempts[message.attempt - 1];
-    if (attempt.path != path ||
-        attempt.standing != attempt_standing::outstanding)
+    if (attempt.path != path || attempt.state != attempt_state::outstanding)
     {
         ++m_ignored;
         return;
     }
-    m_paths.at(path).hear(now, attempt.under);
+    m_paths.at(path).confirm(now, attempt.session_ticket);
     if (message.outcome != verdict::ran)
     {
-        take_refusal(now, request, message, effects);
+        handle_refusal(now, request, message, effects);
         return;
     }
     attempt.answer.add(message.part, message.parts, message.body);
-    if (attempt.answer.whole())
+    if (attempt.answer.is_complete())
     {
         // After a resend it is not known which send was answered.
         if (attempt.sends == 1)
         {
-            m_answer_time.observe(now - attempt.first_sent);
+            m_response_time.observe(now - attempt.first_sent);
         }
-        attempt.standing = attempt_standing::unknown;
+        attempt.state = attempt_state::unknown;
         finish(request,
                request_answer{verdict::ran,
                               answer_reason::answered,
@@ -138,26 +138,26 @@
     }
 }
 
-void caller_core::take_refusal(time_point now, caller_request& request,
-                               const answer_part& message,
-                               caller_effects& effects)
+void caller_core::handle_refusal(time_point now, caller_request& request,
+                                 const answer_part& message,
+                                 caller_effects& effects)
 {
     caller_attempt& attempt = request.attempts[message.attempt - 1];
-    attempt.standing = message.outcome == verdict::not_run
-                           ? attempt_standing::not_run
-                           : attempt_standing::unknown;
+    attempt.state = message.outcome == verdict::not_run
+                        ? attempt_state::not_run
+                        : attempt_state::unknown;
     request.reason = message.reason;
     request.retry_after = message.retry_after;
     if (message.reason == answer_reason::stale_ticket)
     {
-        m_paths.at(attempt.path).drop(attempt.under);
+        m_paths.at(attempt.path).invalidate(attempt.session_ticket);
     }
     if (message.reason == answer_reason::draining &&
         m_paths.in_use(attempt.path))
     {
-        leave(now, attempt.path, effects);
+        leave_draining(now, attempt.path, effects);
     }
-    settle(attempt, effects);
+    settle_attempt(attempt, effects);
     if (has_outstanding(request))
     {
         return;
@@ -170,24 +170,24 @@
     const time_point due = retry_time(now, request);
     // An agent that leaves refuses each path once: a planned change costs no
     // retry.
-    const bool free = message.reason == answer_reason::draining;
+    const bool exempt = message.reason == answer_reason::draining;
     if (due >= request.deadline || !may_retry(request, message.reason) ||
-        (!free && !m_budget.withdraw()))
+        (!exempt && !m_budget.withdraw()))
     {
         finish_without_answer(request, message.reason, effects);
         return;
     }
     request.phase = request_phase::backing_off;
     m_waiting.erase(request.number);
-    wait_until(request, due);
+    schedule_wakeup(request, due);
 }
 
 bool caller_core::may_retry(const caller_request& request,
                             answer_reason reason) const
 {
-    const bool safe = request.wanted.idempotent ||
+    const bool safe = request.outgoing.idempotent ||
                       verdict_without_answer(request) == verdict::not_run;
-    return safe && worth_a_retry(reason) &&
+    return safe && is_retryable(reason) &&
            request.attempts.size() < m_settings.attempt_limit;
 }
 
@@ -195,72 +195,73 @@
                                    const caller_request& request)
 {
     const auto doubled = m_settings.backoff * (1U << request.attempts.size());
-    const auto least =
-        std::chrono::duration_cast<duration>(doubled * draw(0.25, 0.75));
-    const auto told = std::chrono::duration_cast<duration>(request.retry_after *
-                                                           draw(1.0, 1.25));
-    return now + std::max(least, told);
+    const auto backoff = std::chrono::duration_cast<duration>(
+        doubled * random_between(0.25, 0.75));
+    const auto requested = std::chrono::duration_cast<duration>(
+        request.retry_after * random_between(1.0, 1.25));
+    return now + std::max(backoff, requested);
 }
 
-void caller_core::open(time_point now, path_index path, caller_effects& effects)
+void caller_core::open_path(time_point now, path_index path,
+                            caller_effects& effects)
 {
-    caller_path& opened = m_paths.at(path);
-    if (opened.opening())
+    caller_path& target = m_paths.at(path);
+    if (target.opening())
     {
         return;
     }
-    opened.begin_opening(m_random());
+    target.begin_opening(m_random());
     send_open(now, path, effects);
 }
 
 void caller_core::send_open(time_point now, path_index path,
                             caller_effects& effects)
 {
-    caller_path& opened = m_paths.at(path);
+    caller_path& target = m_paths.at(path);
     effects.datagrams.push_back(
-        {path, encode(caller_message(open_session{opened.secret()}))});
-    m_path_wakeups.set(path, now + opening_time(opened));
+        {path, encode(caller_message(open_session{target.secret()}))});
+    m_path_timers.set(path, now + opening_timeout(target));
 }
 
-duration caller_core::opening_time(const caller_path& opened) const
+duration caller_core::opening_timeout(const caller_path& target) const
 {
     const std::uint32_t doublings =
-        std::min(opened.tries() - 1, longest_doubling);
+        std::min(target.openings_sent() - 1, max_doublings);
     return m_settings.resend_after * (1U << doublings);
 }
 
 // The opening of a path went unanswered, or may be asked for again.
-void caller_core::take_due_path(time_point now, path_index path,
-                                caller_effects& effects)
+void caller_core::on_path_timeout(time_point now, path_index path,
+                                  caller_effects& effects)
 {
-    caller_path& opened = m_paths.at(path);
-    const bool wanted = !m_waiting.empty();
-    if (opened.tries() % tries_of_a_path == 0)
+    caller_path& target = m_paths.at(path);
+    const bool has_waiting = !m_waiting.empty();
+    if (target.openings_sent() % max_openings_per_path == 0)
     {
         // Something on the way may have lost track of this flow.
-        path = replace(path, effects);
-        if (!wanted)
+        path = replace_path(path, effects);
+        if (!has_waiting)
         {
             return;
         }
-        open(now, path, effects);
+        open_path(now, path, effects);
     }
-    else if (wanted || opened.doubted())
+    else if (has_waiting || target.confirmation_required())
     {
-        opened.count_try();
+        target.count_opening();
         send_open(now, path, effects);
     }
     else
     {
-        opened.end_opening();
+        target.end_opening();
         return;
     }
-    open_next(now, path, effects);
+    open_next_path(now, path, effects);
 }
 
-path_index caller_core::replace(path_index path, caller_effects& effects)
+path_index caller_core::replace_path(path_index path, caller_effects& effects)
 {
-    m_path_wakeups.clear(path);
+    m_path_timers.clear(path);
     const path_index fresh = m_paths.replace(path);
     if (m_paths.find(path) == nullptr)
     {
@@ -271,21 +272,22 @@
 
 // The agent behind a path leaves: a new flow finds another one, at once unless
 // this was a new flow itself.
-void caller_core::leave(time_point now, path_index path,
-                        caller_effects& effects)
+void caller_core::leave_draining(time_point now, path_index path,
+                                 caller_effects& effects)
 {
-    const path_index fresh = replace(path, effects);
-    caller_path& opened = m_paths.at(fresh);
-    if (opened.tries() == 0)
+    const path_index fresh = replace_path(path, effects);
+    caller_path& target = m_paths.at(fresh);
+    if (target.openings_sent() == 0)
     {
-        open(now, fresh, effects);
+        open_path(now, fresh, effects);
         return;
     }
-    opened.begin_opening(m_random());
-    m_path_wakeups.set(fresh, now + opening_time(opened));
+    target.begin_opening(m_random());
+    m_path_timers.set(fresh, now + opening_timeout(target));
 }
 
-void caller_core::settle(const caller_attempt& attempt, caller_effects& effects)
+void caller_core::settle_attempt(const caller_attempt& attempt,
+                                 caller_effects& effects)
 {
     if (m_paths.settle(attempt.path, attempt.sequence))
     {
@@ -293,25 +295,25 @@
     }
 }
 
-void caller_core::open_next(time_point now, path_index path,
-                            caller_effects& effects)
+void caller_core::open_next_path(time_point now, path_index path,
+                                 caller_effects& effects)
 {
     const path_index next = m_paths.after(path);
     if (!m_paths.at(next).granted())
     {
-        open(now, next, effects);
+        open_path(now, next, effects);
     }
 }
 
 // Starts an exchange for a ticket that the request needs, unless one runs.
-void caller_core::open_one(time_point now, const caller_request& request,
-                           caller_effects& effects)
+void caller_core::open_path_for(time_point now, const caller_request& request,
+                                caller_effects& effects)
 {
     const std::optional<time_point> since = confirmed_since(now, request);
     std::optional<path_index> chosen;
     for (std::size_t step = 0; step < m_paths.count(); ++step)
     {
-        const path_index path = m_paths.in_turn(step);
+        const path_index path = m_paths.at_turn(step);
         if (m_paths.at(path).opening())
         {
             return;
@@ -323,11 +325,11 @@
     }
     if (chosen)
     {
-        open(now, *chosen, effects);
+        open_path(now, *chosen, effects);
     }
 }
 
-double caller_core::draw(double low, double high)
+double caller_core::random_between(double low, double high)
 {
     return std::uniform_real_distribution<double>(low, high)(m_random);
 }
--- a/packages/requests/src/caller_request.cpp
+++ b/packages/requests/src/caller_request.cpp
@@ -10,22 +10,21 @@
     const bool proven =
         std::all_of(request.attempts.begin(), request.attempts.end(),
                     [](const caller_attempt& attempt)
-                    { return attempt.standing == attempt_standing::not_run; });
+                    { return attempt.state == attempt_state::not_run; });
     return proven ? verdict::not_run : verdict::may_have_run;
 }
 
 bool has_outstanding(const caller_request& request)
 {
-    return std::any_of(
-        request.attempts.begin(), request.attempts.end(),
-        [](const caller_attempt& attempt)
-        { return attempt.standing == attempt_standing::outstanding; });
+    return std::any_of(request.attempts.begin(), request.attempts.end(),
+                       [](const caller_attempt& attempt)
+                       { return attempt.state == attempt_state::outstanding; });
 }
 
 std::size_t last_outstanding(const caller_request& request)
 {
     std::size_t index = request.attempts.size() - 1;
-    while (request.attempts[index].standing != attempt_standing::outstanding)
+    while (request.attempts[index].state != attempt_state::outstanding)
     {
         --index;
     }
--- a/packages/requests/src/caller_request.hpp
+++ b/packages/requests/src/caller_request.hpp
@@ -13,7 +13,7 @@
 {
 
 // What is known of one attempt.
-enum class attempt_standing : std::uint8_t
+enum class attempt_state : std::uint8_t
 {
     // No final word on it: it may still run, and be answered.
     outstanding,
@@ -27,11 +27,11 @@
 struct caller_attempt
 {
     path_index path = 0;
-    ticket under;
+    ticket session_ticket;
     std::uint64_t sequence = 0;
     std::uint32_t sends = 0;
     time_point first_sent{};
-    attempt_standing standing = attempt_standing::outstanding;
+    attempt_state state = attempt_state::outstanding;
     part_assembly answer;
 };
 
@@ -50,7 +50,7 @@
 struct caller_request
 {
     std::uint64_t number = 0;
-    outgoing_request wanted;
+    outgoing_request outgoing;
     time_point deadline{};
     request_phase phase = request_phase::waiting;
     std::vector<caller_attempt> attempts;
--- a/packages/requests/src/caller_send.cpp
+++ b/packages/requests/src/caller_send.cpp
@@ -12,9 +12,9 @@
 {
 
 // Sends of one attempt of an idempotent request before it goes elsewhere.
-constexpr std::uint32_t idempotent_sends = 2;
+constexpr std::uint32_t max_idempotent_sends = 2;
 // Resends of one attempt are at most this many doublings apart.
-constexpr std::uint32_t longest_doubling = 6;
+constexpr std::uint32_t max_doublings = 6;
 
 } // namespace
 
@@ -27,29 +27,29 @@
 {
 }
 
-request_id caller_core::submit(time_point now, outgoing_request wanted,
+request_id caller_core::submit(time_point now, outgoing_request outgoing,
                                caller_effects& effects)
 {
     const std::uint64_t number = ++m_last_number;
     const bool full = m_requests.size() >= m_settings.outstanding_limit;
     caller_request& request = m_requests[number];
     request.number = number;
-    request.deadline = now + wanted.deadline;
-    request.wanted = std::move(wanted);
+    request.deadline = now + outgoing.deadline;
+    request.outgoing = std::move(outgoing);
     m_budget.deposit();
     if (full)
     {
         request.retry_after = m_settings.backoff;
         finish_without_answer(request, answer_reason::overloaded, effects);
     }
-    else if (const auto reason = refusal(request.wanted))
+    else if (const auto reason = refusal_reason(request.outgoing))
     {
         finish_without_answer(request, *reason, effects);
     }
-    else if (place(now, request, effects))
+    else if (assign_path(now, request, effects))
     {
         // Load spreads over all paths, so each is opened before it is needed.
-        open_one(now, request, effects);
+        open_path_for(now, request, effects);
     }
     else
     {
@@ -59,13 +59,14 @@
 }
 
 std::optional<answer_reason>
-caller_core::refusal(const outgoing_request& wanted) const
+caller_core::refusal_reason(const outgoing_request& outgoing) const
 {
-    if (wanted.body.size() > body_limit || wanted.kind.size() > kind_name_limit)
+    if (outgoing.body.size() > body_limit ||
+        outgoing.kind.size() > kind_name_limit)
     {
         return answer_reason::too_large;
     }
-    if (wanted.deadline <= duration::zero())
+    if (outgoing.deadline <= duration::zero())
     {
         return answer_reason::expired;
     }
@@ -92,49 +93,49 @@
     {
         send_cancel(request, index, effects);
     }
-    wait_until(request, now + m_settings.cancel_wait);
+    schedule_wakeup(request, now + m_settings.cancel_timeout);
 }
 
 void caller_core::advance(time_point now, caller_effects& effects)
 {
-    while (const auto due = m_path_wakeups.take(now))
+    while (const auto due = m_path_timers.pop_due(now))
     {
-        take_due_path(now, static_cast<path_index>(*due), effects);
+        on_path_timeout(now, static_cast<path_index>(*due), effects);
     }
-    while (const auto due = m_request_wakeups.take(now))
+    while (const auto due = m_request_timers.pop_due(now))
     {
-        take_due(now, m_requests.at(*due), effects);
+        on_timeout(now, m_requests.at(*due), effects);
     }
-    place_waiting(now, effects);
+    assign_waiting(now, effects);
 }
 
 time_point caller_core::next_wakeup() const
 {
-    return std::min(m_request_wakeups.next(), m_path_wakeups.next());
+    return std::min(m_request_timers.next_due(), m_path_timers.next_due());
 }
 
-void caller_core::take_due(time_point now, caller_request& due,
-                           caller_effects& effects)
+void caller_core::on_timeout(time_point now, caller_request& request,
+                             caller_effects& effects)
 {
-    if (due.phase == request_phase::cancelling)
+    if (request.phase == request_phase::cancelling)
     {
-        finish_without_answer(due, answer_reason::cancelled, effects);
+        finish_without_answer(request, answer_reason::cancelled, effects);
         return;
     }
-    if (now >= due.deadline)
+    if (now >= request.deadline)
     {
-        const bool sent = !due.attempts.empty();
+        const bool sent = !request.attempts.empty();
         finish_without_answer(
-            due, sent ? answer_reason::expired : answer_reason::unreachable,
+            request, sent ? answer_reason::expired : answer_reason::unreachable,
             effects);
         return;
     }
-    if (due.phase == request_phase::backing_off)
+    if (request.phase == request_phase::backing_off)
     {
-        place(now, due, effects);
+        assign_path(now, request, effects);
         return;
     }
-    resend(now, due, effects);
+    resend(now, request, effects);
 }
 
 // Nothing was heard of the latest attempt for its resend time.
@@ -143,11 +144,11 @@
 {
     const std::size_t index = last_outstanding(request);
     const caller_attempt& attempt = request.attempts[index];
-    m_paths.at(attempt.path).doubt(attempt.first_sent);
-    const bool elsewhere = request.wanted.idempotent &&
-                           attempt.sends >= idempotent_sends &&
-                           request.attempts.size() < m_settings.attempt_limit;
-    if (elsewhere)
+    m_paths.at(attempt.path).require_confirmation(attempt.first_sent);
+    const bool use_other_path =
+        request.outgoing.idempotent && attempt.sends >= max_idempotent_sends &&
+        request.attempts.size() < m_settings.attempt_limit;
+    if (use_other_path)
     {
         const auto path = choose_path(now, request);
         if (path && *path != attempt.path && m_budget.withdraw())
@@ -155,31 +156,31 @@
             begin_attempt(now, request, *path, effects);
             return;
         }
-        open_one(now, request, effects);
+        open_path_for(now, request, effects);
     }
     if (attempt.sends >= m_settings.send_limit)
     {
-        wait_until(request, request.deadline);
+        schedule_wakeup(request, request.deadline);
         return;
     }
     if (!m_budget.withdraw())
     {
-        wait_until(request, now + resend_time(attempt));
+        schedule_wakeup(request, now + resend_timeout(attempt));
         return;
     }
     send_attempt(now, request, index, effects);
 }
 
-duration caller_core::resend_time(const caller_attempt& attempt) const
+duration caller_core::resend_timeout(const caller_attempt& attempt) const
 {
-    const std::uint32_t doublings = std::min(attempt.sends, longest_doubling);
+    const std::uint32_t doublings = std::min(attempt.sends, max_doublings);
     const duration first =
-        std::max(m_settings.resend_after, m_answer_time.timeout());
+        std::max(m_settings.resend_after, m_response_time.timeout());
     return first * (1U << doublings);
 }
 
-bool caller_core::place(time_point now, caller_request& request,
-                        caller_effects& effects)
+bool caller_core::assign_path(time_point now, caller_request& request,
+                              caller_effects& effects)
 {
     if (const auto path = choose_path(now, request))
     {
@@ -189,8 +190,8 @@
     }
     request.phase = request_phase::waiting;
     m_waiting.insert(request.number);
-    wait_until(request, request.deadline);
-    open_one(now, request, effects);
+    schedule_wakeup(request, request.deadline);
+    open_path_for(now, request, effects);
     return false;
 }
 
@@ -198,33 +199,33 @@
 caller_core::confirmed_since(time_point now,
                              const caller_request& request) const
 {
-    if (request.wanted.idempotent)
+    if (request.outgoing.idempotent)
     {
         return std::nullopt;
     }
-    return now - m_settings.ticket_fresh_for;
+    return now - m_settings.ticket_validity;
 }
 
-void caller_core::place_waiting(time_point now, caller_effects& effects)
+void caller_core::assign_waiting(time_point now, caller_effects& effects)
 {
-    bool once_blocked = false;
+    bool non_idempotent_blocked = false;
     for (auto next = m_waiting.begin(); next != m_waiting.end();)
     {
         caller_request& request = m_requests.at(*next);
         ++next;
-        if (once_blocked && !request.wanted.idempotent)
+        if (non_idempotent_blocked && !request.outgoing.idempotent)
         {
             continue;
         }
-        if (place(now, request, effects))
+        if (assign_path(now, request, effects))
         {
             continue;
         }
-        if (request.wanted.idempotent)
+        if (request.outgoing.idempotent)
         {
             return;
         }
-        once_blocked = true;
+        non_idempotent_blocked = true;
     }
 }
 
@@ -232,10 +233,10 @@
 caller_core::choose_path(time_point now, const caller_request& request) const
 {
     const std::optional<time_point> since = confirmed_since(now, request);
-    std::optional<path_index> again;
+    std::optional<path_index> fallback;
     for (std::size_t step = 0; step < m_paths.count(); ++step)
     {
-        const path_index path = m_paths.in_turn(step);
+        const path_index path = m_paths.at_turn(step);
         if (!m_paths.at(path).usable(since))
         {
             continue;
@@ -244,19 +245,19 @@
         {
             return path;
         }
-        again = path;
+        fallback = path;
     }
-    return again;
+    return fallback;
 }
 
 void caller_core::begin_attempt(time_point now, caller_request& request,
                                 path_index path, caller_effects& effects)
 {
-    m_paths.take_turn(path);
+    m_paths.advance_turn(path);
     caller_path& chosen = m_paths.at(path);
     caller_attempt attempt;
     attempt.path = path;
-    attempt.under = *chosen.granted();
+    attempt.session_ticket = *chosen.granted();
     attempt.sequence = chosen.take_sequence();
     attempt.first_sent = now;
     request.attempts.push_back(std::move(attempt));
@@ -271,20 +272,20 @@
     request_part part;
     part.id = {m_caller, request.number};
     part.attempt = static_cast<std::uint32_t>(index + 1);
-    part.under = attempt.under;
+    part.session_ticket = attempt.session_ticket;
     part.sequence = attempt.sequence;
     part.settled_below = m_paths.at(attempt.path).settled_below();
-    part.kind = request.wanted.kind;
-    part.idempotent = request.wanted.idempotent;
+    part.kind = request.outgoing.kind;
+    part.idempotent = request.outgoing.idempotent;
     part.remaining = request.deadline - now;
-    part.parts = part_count(request.wanted.body);
+    part.parts = part_count(request.outgoing.body);
     for (part.part = 0; part.part < part.parts; ++part.part)
     {
-        part.body = std::string(part_of(request.wanted.body, part.part));
+        part.body = std::string(body_slice(request.outgoing.body, part.part));
         effects.datagrams.push_back(
             {attempt.path, encode(caller_message(part))});
     }
-    wait_until(request, now + resend_time(attempt));
+    schedule_wakeup(request, now + resend_timeout(attempt));
     ++attempt.sends;
 }
 
@@ -292,20 +293,20 @@
                               caller_effects& effects)
 {
     const caller_attempt& attempt = request.attempts[index];
-    if (attempt.standing != attempt_standing::outstanding)
+    if (attempt.state != attempt_state::outstanding)
     {
         return;
     }
     const request_cancel cancel{{m_caller, request.number},
                                 static_cast<std::uint32_t>(index + 1),
-                                attempt.under,
+                                attempt.session_ticket,
                                 attempt.sequence};
     effects.datagrams.push_back({attempt.path, encode(caller_message(cancel))});
 }
 
-void caller_core::wait_until(const caller_request& request, time_point due)
+void caller_core::schedule_wakeup(const caller_request& request, time_point due)
 {
-    m_request_wakeups.set(request.number, std::min(due, request.deadline));
+    m_request_timers.set(request.number, std::min(due, request.deadline));
 }
 
 void caller_core::finish_without_answer(caller_request& request,
@@ -331,13 +332,13 @@
             send_cancel(request, index, effects);
         }
         const caller_attempt& attempt = request.attempts[index];
-        settle(attempt, effects);
+        settle_attempt(attempt, effects);
     }
     const std::uint64_t number = request.number;
     effects.outcomes.push_back(
         {{m_caller, number}, std::move(answer), attempts});
     m_waiting.erase(number);
-    m_request_wakeups.clear(number);
+    m_request_timers.clear(number);
     m_requests.erase(number);
 }
 
--- a/packages/requests/src/job.hpp
+++ b/packages/requests/src/job.hpp
@@ -41,10 +41,10 @@
     part_assembly assembly;
     std::string body;
     // Its share of the limit on body bytes.
-    std::size_t charged = 0;
+    std::size_t charged_bytes = 0;
     time_point started{};
     // Whether the upstream was asked to stop it.
-    bool stopping = false;
+    bool cancel_sent = false;
 };
 
 } // namespace crowlink::internal
--- a/packages/requests/src/message_conversion.cpp
+++ b/packages/requests/src/message_conversion.cpp
@@ -33,7 +33,7 @@
 
 void write(const ticket& from, pb::ticket& to)
 {
-    to.set_incarnation(from.minted_by.value());
+    to.set_incarnation(from.issued_by.value());
     to.set_session(from.session);
     to.set_secret(from.secret);
 }
--- a/packages/requests/src/part_assembly.cpp
+++ b/packages/requests/src/part_assembly.cpp
@@ -45,7 +45,7 @@
         std::max<std::size_t>(1, full / part_body_limit));
 }
 
-std::string_view part_of(std::string_view body, std::uint32_t part)
+std::string_view body_slice(std::string_view body, std::uint32_t part)
 {
     return body.substr(part * part_body_limit, part_body_limit);
 }
--- a/packages/requests/src/answer_time.hpp
+++ b/packages/requests/src/response_time_estimator.hpp
@@ -9,10 +9,10 @@
 
 // How long to wait for an answer before a datagram is taken to be lost: the
 // smoothed answer time and four times its mean deviation (RFC 6298, section 2).
-class answer_time
+class response_time_estimator
 {
 public:
-    void observe(duration took);
+    void observe(duration response_time);
 
     // Zero until something was observed.
     duration timeout() const { return m_mean + 4 * m_deviation; }
--- a/packages/requests/src/run_times.cpp
+++ b/packages/requests/src/run_times.cpp
@@ -26,14 +26,14 @@
     mean = mean ? *mean + (run - *mean) / smoothing : run;
 }
 
-duration run_times::of(kind_index kind) const
+duration run_times::expected(kind_index kind) const
 {
     const std::optional<duration>& mean = m_observed[kind];
     return mean ? *mean : m_weights[kind] * m_per_weight;
 }
 
-duration run_times::wait(kind_index kind, const kind_queues& queues,
-                         std::uint32_t slots) const
+duration run_times::expected_wait(kind_index kind, const kind_queues& queues,
+                                  std::uint32_t slots) const
 {
     std::int64_t competing = queues[kind].waiting.empty() ? 1 : 0;
     for (const kind_queue& queue : queues)
@@ -41,7 +41,7 @@
         competing += queue.waiting.empty() ? 0 : 1;
     }
     const auto own = static_cast<std::int64_t>(queues[kind].waiting.size());
-    const duration fair = own * of(kind) * competing / slots;
+    const duration fair = own * expected(kind) * competing / slots;
     return std::min(fair, drain_time(queues, slots));
 }
 
@@ -53,7 +53,7 @@
     {
         const auto waiting =
             static_cast<std::int64_t>(queues[kind].waiting.size());
-        total += waiting * of(kind);
+        total += waiting * expected(kind);
     }
     return total / slots;
 }
--- a/packages/requests/src/session_table.cpp
+++ b/packages/requests/src/session_table.cpp
@@ -17,9 +17,9 @@
         { return request.sequence < wanted; });
 }
 
-bool has_pending(const session& of)
+bool has_pending(const session& target)
 {
-    return std::any_of(of.requests.begin(), of.requests.end(),
+    return std::any_of(target.requests.begin(), target.requests.end(),
                        [](const remembered_request& request)
                        { return request.answer == nullptr; });
 }
@@ -33,7 +33,7 @@
     if (known != secrets.end())
     {
         const std::uint64_t number = known->number;
-        touch(now, number);
+        mark_used(now, number);
         return ticket{m_own, number, secret};
     }
     if (!make_room(now))
@@ -43,40 +43,41 @@
     session fresh;
     fresh.number = ++m_last_number;
     fresh.secret = secret;
-    fresh.used = now;
+    fresh.last_used = now;
     m_sessions.get<by_use>().push_back(std::move(fresh));
     return ticket{m_own, m_last_number, secret};
 }
 
-sighting session_table::sight(time_point now, const ticket& under,
-                              std::uint64_t sequence,
-                              std::uint64_t settled_below)
+sequence_lookup session_table::sight(time_point now,
+                                     const ticket& session_ticket,
+                                     std::uint64_t sequence,
+                                     std::uint64_t settled_below)
 {
-    session* found = find(under.session);
-    if (under.minted_by != m_own || found == nullptr ||
-        found->secret != under.secret)
+    session* found = find(session_ticket.session);
+    if (session_ticket.issued_by != m_own || found == nullptr ||
+        found->secret != session_ticket.secret)
     {
-        return {sighting_kind::stale, nullptr};
+        return {sequence_status::stale, nullptr};
     }
-    touch(now, under.session);
+    mark_used(now, session_ticket.session);
     settle(*found, settled_below);
-    if (sequence < found->floor)
+    if (sequence < found->settled_below)
     {
-        return {sighting_kind::settled, nullptr};
+        return {sequence_status::settled, nullptr};
     }
-    if (sequence - found->floor >= sequence_window)
+    if (sequence - found->settled_below >= sequence_window)
     {
-        return {sighting_kind::beyond_window, nullptr};
+        return {sequence_status::beyond_window, nullptr};
     }
-    auto place = position_of(found->requests, sequence);
-    if (place != found->requests.end() && place->sequence == sequence)
+    auto position = position_of(found->requests, sequence);
+    if (position != found->requests.end() && position->sequence == sequence)
     {
-        return {sighting_kind::known, &*place};
+        return {sequence_status::known, &*position};
     }
     remembered_request fresh;
     fresh.sequence = sequence;
-    place = found->requests.insert(place, std::move(fresh));
-    return {sighting_kind::fresh, &*place};
+    position = found->requests.insert(position, std::move(fresh));
+    return {sequence_status::fresh, &*position};
 }
 
 const request_answer* session_table::finish(std::uint64_t number,
@@ -88,20 +89,22 @@
     {
         return nullptr;
     }
-    const auto place = position_of(found->requests, sequence);
-    if (place == found->requests.end() || place->sequence != sequence)
+    const auto position = position_of(found->requests, sequence);
+    if (position == found->requests.end() || position->sequence != sequence)
     {
         return nullptr;
     }
     m_answer_bytes += answer.body.size();
     if (!answer.body.empty())
     {
-        place->age = ++m_last_age;
-        m_answers.emplace(place->age, answer_place{number, sequence});
+        position->answer_number = ++m_last_answer_number;
+        m_answers.emplace(position->answer_number,
+                          answer_location{number, sequence});
     }
-    place->answer = std::make_unique<const request_answer>(std::move(answer));
-    shrink_answers();
-    return place->answer.get();
+    position->answer =
+        std::make_unique<const request_answer>(std::move(answer));
+    evict_answers();
+    return position->answer.get();
 }
 
 session* session_table::find(std::uint64_t number)
@@ -112,10 +115,10 @@
     return found == numbers.end() ? nullptr : const_cast<session*>(&*found);
 }
 
-void session_table::touch(time_point now, std::uint64_t number)
+void session_table::mark_used(time_point now, std::uint64_t number)
 {
     const auto found = m_sessions.get<by_number>().find(number);
-    const_cast<session&>(*found).used = now;
+    const_cast<session&>(*found).last_used = now;
     auto& order = m_sessions.get<by_use>();
     order.relocate(order.end(), m_sessions.project<by_use>(found));
 }
@@ -127,7 +130,8 @@
         return true;
     }
     auto& order = m_sessions.get<by_use>();
-    if (order.empty() || now - order.front().used < m_limits.keep ||
+    if (order.empty() ||
+        now - order.front().last_used < m_limits.session_idle_timeout ||
         has_pending(order.front()))
     {
         return false;
@@ -140,34 +144,34 @@
     return true;
 }
 
-void session_table::settle(session& of, std::uint64_t below)
+void session_table::settle(session& target, std::uint64_t below)
 {
-    if (below <= of.floor)
+    if (below <= target.settled_below)
     {
         return;
     }
-    of.floor = below;
-    const auto end = position_of(of.requests, below);
-    std::for_each(of.requests.begin(), end,
+    target.settled_below = below;
+    const auto end = position_of(target.requests, below);
+    std::for_each(target.requests.begin(), end,
                   [this](const remembered_request& request)
                   { forget_answer(request); });
-    of.requests.erase(of.requests.begin(), end);
+    target.requests.erase(target.requests.begin(), end);
 }
 
 void session_table::forget_answer(const remembered_request& request)
 {
-    if (request.answer != nullptr && m_answers.erase(request.age) > 0)
+    if (request.answer != nullptr && m_answers.erase(request.answer_number) > 0)
     {
         m_answer_bytes -= request.answer->body.size();
     }
 }
 
-void session_table::shrink_answers()
+void session_table::evict_answers()
 {
     // The newest answer is kept whatever its size: it is just being sent.
     while (m_answer_bytes > m_limits.answer_bytes && m_answers.size() > 1)
     {
-        const answer_place oldest = m_answers.begin()->second;
+        const answer_location oldest = m_answers.begin()->second;
         session* found = find(oldest.session);
         remembered_request& request =
             *position_of(found->requests, oldest.sequence);
--- a/packages/requests/src/session_table.hpp
+++ b/packages/requests/src/session_table.hpp
@@ -18,9 +18,9 @@
 {
     std::uint64_t number = 0;
     std::uint64_t secret = 0;
-    time_point used{};
+    time_point last_used{};
     // Sequences below are settled.
-    std::uint64_t floor = 1;
+    std::uint64_t settled_below = 1;
     std::vector<remembered_request> requests;
 };
 
@@ -34,8 +34,8 @@
     }
 
     std::optional<ticket> open(time_point now, std::uint64_t secret);
-    sighting sight(time_point now, const ticket& under, std::uint64_t sequence,
-                   std::uint64_t settled_below);
+    sequence_lookup sight(time_point now, const ticket& session_ticket,
+                          std::uint64_t sequence, std::uint64_t settled_below);
     const request_answer* finish(std::uint64_t number, std::uint64_t sequence,
                                  request_answer answer);
 
@@ -60,26 +60,26 @@
             boost::multi_index::sequenced<boost::multi_index::tag<by_use>>>>;
 
     // Where an answer with a body is remembered.
-    struct answer_place
+    struct answer_location
     {
         std::uint64_t session = 0;
         std::uint64_t sequence = 0;
     };
 
     session* find(std::uint64_t number);
-    void touch(time_point now, std::uint64_t number);
+    void mark_used(time_point now, std::uint64_t number);
     bool make_room(time_point now);
-    void settle(session& of, std::uint64_t below);
+    void settle(session& target, std::uint64_t below);
     void forget_answer(const remembered_request& request);
-    void shrink_answers();
+    void evict_answers();
 
     incarnation m_own;
     memory_limits m_limits;
     sessions_type m_sessions;
     std::uint64_t m_last_number = 0;
     // Answers with a body by age, oldest first.
-    std::map<std::uint64_t, answer_place> m_answers;
-    std::uint64_t m_last_age = 0;
+    std::map<std::uint64_t, answer_location> m_answers;
+    std::uint64_t m_last_answer_number = 0;
     std::size_t m_answer_bytes = 0;
 };
 
--- a/packages/requests/src/wakeups.hpp
+++ b/packages/requests/src/timer_queue.hpp
@@ -11,7 +11,7 @@
 {
 
 // One due time for each of many numbered things.
-class wakeups
+class timer_queue
 {
 public:
     void set(std::uint64_t number, time_point due)
@@ -32,13 +32,13 @@
     }
 
     // The earliest due time, or time_point::max().
-    time_point next() const
+    time_point next_due() const
     {
         return m_order.empty() ? time_point::max() : m_order.begin()->due;
     }
 
     // Takes the number that is due first, if any is due by now.
-    std::optional<std::uint64_t> take(time_point now)
+    std::optional<std::uint64_t> pop_due(time_point now)
     {
         if (m_order.empty() || m_order.begin()->due > now)
         {
--- a/packages/requests/src/udp_request_client.cpp
+++ b/packages/requests/src/udp_request_client.cpp
@@ -15,7 +15,7 @@
 {
 
 // Datagrams taken from one socket before the others have their turn.
-constexpr int receive_batch = 64;
+constexpr int receive_batch_size = 64;
 
 seeded_random seeded_by_system()
 {
@@ -27,10 +27,10 @@
 
 } // namespace
 
-class udp_request_client::shell
+class udp_request_client::impl
 {
 public:
-    shell(const caller_settings& settings, std::vector<endpoint> services)
+    impl(const caller_settings& settings, std::vector<endpoint> services)
         : m_services(std::move(services))
         , m_caller(settings, seeded_by_system())
     {
@@ -57,25 +57,25 @@
     {
         const request_id id =
             m_caller.submit(m_clock.now(), std::move(request), m_effects);
-        carry_out();
+        perform_effects();
         return id;
     }
 
     void cancel(request_id id)
     {
         m_caller.cancel(m_clock.now(), id, m_effects);
-        carry_out();
+        perform_effects();
     }
 
-    std::vector<request_outcome> poll(duration longest_wait)
+    std::vector<request_outcome> poll(duration max_wait)
     {
-        const time_point until = m_clock.now() + longest_wait;
+        const time_point deadline = m_clock.now() + max_wait;
         do
         {
             receive_all();
             m_caller.advance(m_clock.now(), m_effects);
-            carry_out();
-        } while (m_effects.outcomes.empty() && wait(until));
+            perform_effects();
+        } while (m_effects.outcomes.empty() && wait(deadline));
         std::vector<request_outcome> outcomes;
         std::swap(outcomes, m_effects.outcomes);
         return outcomes;
@@ -85,14 +85,14 @@
 
 private:
     // Waits for a datagram or for what is due; false once it is `until`.
-    bool wait(time_point until)
+    bool wait(time_point deadline)
     {
         const time_point now = m_clock.now();
-        if (now >= until)
+        if (now >= deadline)
         {
             return false;
         }
-        const time_point wake = std::min(until, m_caller.next_wakeup());
+        const time_point wake = std::min(deadline, m_caller.next_wakeup());
         const auto left = std::chrono::ceil<std::chrono::milliseconds>(
             std::max(duration::zero(), wake - now));
         std::vector<pollfd> waited;
@@ -109,13 +109,13 @@
     {
         for (auto& entry : m_sockets)
         {
-            receive_batch_of(entry.first, entry.second);
+            receive_batch(entry.first, entry.second);
         }
     }
 
-    void receive_batch_of(path_index path, internal::udp_socket& socket)
+    void receive_batch(path_index path, internal::udp_socket& socket)
     {
-        for (int taken = 0; taken < receive_batch; ++taken)
+        for (int received = 0; received < receive_batch_size; ++received)
         {
             const auto datagram = socket.receive();
             if (!datagram)
@@ -126,7 +126,7 @@
         }
     }
 
-    void carry_out()
+    void perform_effects()
     {
         for (const caller_datagram& datagram : m_effects.datagrams)
         {
@@ -161,7 +161,7 @@
         return fail(error_kind::invalid, "services",
                     "needs an address and a path");
     }
-    auto opened = std::make_unique<shell>(settings, services);
+    auto opened = std::make_unique<impl>(settings, services);
     for (path_index path = 0; path < settings.paths; ++path)
     {
         const auto socket = opened->socket_of(path);
@@ -173,8 +173,8 @@
     return udp_request_client(std::move(opened));
 }
 
-udp_request_client::udp_request_client(std::unique_ptr<shell> opened)
-    : m_shell(std::move(opened))
+udp_request_client::udp_request_client(std::unique_ptr<impl> opened)
+    : m_impl(std::move(opened))
 {
 }
 
@@ -185,22 +185,22 @@
 
 request_id udp_request_client::send(outgoing_request request)
 {
-    return m_shell->send(std::move(request));
+    return m_impl->send(std::move(request));
 }
 
 void udp_request_client::cancel(request_id id)
 {
-    m_shell->cancel(id);
+    m_impl->cancel(id);
 }
 
-std::vector<request_outcome> udp_request_client::poll(duration longest_wait)
+std::vector<request_outcome> udp_request_client::poll(duration max_wait)
 {
-    return m_shell->poll(longest_wait);
+    return m_impl->poll(max_wait);
 }
 
 std::size_t udp_request_client::outstanding() const
 {
-    return m_shell->outstanding();
+    return m_impl->outstanding();
 }
 
 } // namespace crowlink
--- a/packages/requests/src/udp_socket.cpp
+++ b/packages/requests/src/udp_socket.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr std::size_t longest_datagram = 65536;
+constexpr std::size_t max_datagram_size = 65536;
 // Where the IPv4 address lies in its IPv4-mapped form.
 constexpr std::size_t v4_offset = 12;
 
@@ -100,7 +100,7 @@
 
 std::optional<std::string> udp_socket::receive()
 {
-    std::array<char, longest_datagram> buffer;
+    std::array<char, max_datagram_size> buffer;
     const ssize_t size = ::recv(m_descriptor, buffer.data(), buffer.size(), 0);
     if (size < 0)
     {
--- a/packages/requests/test/at_most_once_test.cpp
+++ b/packages/requests/test/at_most_once_test.cpp
@@ -18,7 +18,7 @@
     memory_limits limits;
     limits.sessions = 2;
     limits.answer_bytes = 10;
-    limits.keep = std::chrono::seconds(1);
+    limits.session_idle_timeout = std::chrono::seconds(1);
     return limits;
 }
 
@@ -33,9 +33,10 @@
         return {incarnation(), 0, secret};
     }
 
-    bool runs(time_point /*now*/, const ticket& under, std::uint64_t sequence)
+    bool runs(time_point /*now*/, const ticket& session_ticket,
+              std::uint64_t sequence)
     {
-        const auto key = std::pair(under.secret, sequence);
+        const auto key = std::pair(session_ticket.secret, sequence);
         if (!m_seen.insert(key).second)
         {
             return false;
@@ -74,10 +75,11 @@
         return {m_own, 0, secret};
     }
 
-    bool runs(time_point /*now*/, const ticket& under, std::uint64_t sequence)
+    bool runs(time_point /*now*/, const ticket& session_ticket,
+              std::uint64_t sequence)
     {
-        const auto found = m_sessions.find(under.secret);
-        return under.minted_by == m_own && found != m_sessions.end() &&
+        const auto found = m_sessions.find(session_ticket.secret);
+        return session_ticket.issued_by == m_own && found != m_sessions.end() &&
                found->second.insert(sequence).second;
     }
 
@@ -98,14 +100,16 @@
         return m_memory.open(now, secret).value_or(ticket());
     }
 
-    bool runs(time_point now, const ticket& under, std::uint64_t sequence)
+    bool runs(time_point now, const ticket& session_ticket,
+              std::uint64_t sequence)
     {
-        const sighting seen = m_memory.sight(now, under, sequence, 0);
-        if (seen.kind == sighting_kind::fresh)
+        const sequence_lookup seen =
+            m_memory.sight(now, session_ticket, sequence, 0);
+        if (seen.kind == sequence_status::fresh)
         {
-            m_memory.finish(under.session, sequence, {});
+            m_memory.finish(session_ticket.session, sequence, {});
         }
-        return seen.kind == sighting_kind::fresh;
+        return seen.kind == sequence_status::fresh;
     }
 
 private:
@@ -133,10 +137,11 @@
 history_runs run_histories()
 {
     const time_point now{};
-    const auto runs = [](Memory& first, Memory& second, const ticket& under)
+    const auto runs =
+        [](Memory& first, Memory& second, const ticket& session_ticket)
     {
-        return int{first.runs(time_point{}, under, 1)} +
-               int{second.runs(time_point{}, under, 1)};
+        return int{first.runs(time_point{}, session_ticket, 1)} +
+               int{second.runs(time_point{}, session_ticket, 1)};
     };
     history_runs counted;
     Memory one{incarnation(1)};
@@ -184,14 +189,19 @@
 {
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
-    const ticket under = *memory.open(now, caller_secret);
-    EXPECT_EQ(memory.sight(now, under, 1, 0).kind, sighting_kind::fresh);
-    EXPECT_EQ(memory.sight(now, under, 1, 0).kind, sighting_kind::known);
-    EXPECT_EQ(memory.sight(now, under, 3, 3).kind, sighting_kind::fresh);
-    EXPECT_EQ(memory.sight(now, under, 1, 0).kind, sighting_kind::settled);
-    EXPECT_EQ(memory.sight(now, under, 2, 0).kind, sighting_kind::settled);
-    EXPECT_EQ(memory.sight(now, under, 3 + sequence_window, 0).kind,
-              sighting_kind::beyond_window);
+    const ticket session_ticket = *memory.open(now, caller_secret);
+    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+              sequence_status::fresh);
+    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+              sequence_status::known);
+    EXPECT_EQ(memory.sight(now, session_ticket, 3, 3).kind,
+              sequence_status::fresh);
+    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+              sequence_status::settled);
+    EXPECT_EQ(memory.sight(now, session_ticket, 2, 0).kind,
+              sequence_status::settled);
+    EXPECT_EQ(memory.sight(now, session_ticket, 3 + sequence_window, 0).kind,
+              sequence_status::beyond_window);
 }
 
 TEST(at_most_once, a_ticket_is_honoured_only_with_its_secret)
@@ -200,23 +210,23 @@
     const time_point now{};
     ticket guessed = *memory.open(now, caller_secret);
     ++guessed.secret;
-    EXPECT_EQ(memory.sight(now, guessed, 1, 0).kind, sighting_kind::stale);
+    EXPECT_EQ(memory.sight(now, guessed, 1, 0).kind, sequence_status::stale);
 }
 
 TEST(at_most_once, answers_beyond_the_bound_are_forgotten_but_not_run_again)
 {
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
-    const ticket under = *memory.open(now, caller_secret);
+    const ticket session_ticket = *memory.open(now, caller_secret);
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence)
     {
-        memory.sight(now, under, sequence, 0);
-        memory.finish(under.session, sequence,
+        memory.sight(now, session_ticket, sequence, 0);
+        memory.finish(session_ticket.session, sequence,
                       {verdict::ran, answer_reason::answered, {}, "123456"});
     }
     EXPECT_EQ(memory.answer_bytes(), 6U);
-    const sighting oldest = memory.sight(now, under, 1, 0);
-    ASSERT_EQ(oldest.kind, sighting_kind::known);
+    const sequence_lookup oldest = memory.sight(now, session_ticket, 1, 0);
+    ASSERT_EQ(oldest.kind, sequence_status::known);
     EXPECT_EQ(oldest.request->answer->reason, answer_reason::answer_lost);
     EXPECT_EQ(oldest.request->answer->outcome, verdict::may_have_run);
 }
@@ -233,7 +243,7 @@
     EXPECT_FALSE(memory.open(now, 3));
     memory.finish(busy.session, 1, {});
     EXPECT_TRUE(memory.open(now, 3));
-    EXPECT_EQ(memory.sight(now, busy, 1, 0).kind, sighting_kind::stale);
+    EXPECT_EQ(memory.sight(now, busy, 1, 0).kind, sequence_status::stale);
     EXPECT_EQ(memory.sessions(), 2U);
 }
 
--- a/packages/requests/test/history.cpp
+++ b/packages/requests/test/history.cpp
@@ -39,7 +39,7 @@
     settings.kinds = {{"hold", 3, false}, {"read", 1, true}};
     settings.queue_limit = 6;
     settings.memory.sessions = static_cast<std::size_t>(sessions);
-    settings.memory.keep = std::chrono::milliseconds(100);
+    settings.memory.session_idle_timeout = std::chrono::milliseconds(100);
     settings.memory.answer_bytes = 8000;
     return settings;
 }
@@ -49,7 +49,7 @@
     caller_settings settings;
     settings.paths = path_count;
     settings.retry_ratio = 0.3;
-    settings.ticket_fresh_for = std::chrono::milliseconds(m_settings.fresh_for);
+    settings.ticket_validity = std::chrono::milliseconds(m_settings.fresh_for);
     return settings;
 }
 
--- a/packages/requests/test/request_admission_test.cpp
+++ b/packages/requests/test/request_admission_test.cpp
@@ -28,7 +28,7 @@
         chosen.slots = 1;
         chosen.kinds = {{"hold", 1, false}, {"read", 1, true}};
         chosen.queue_limit = 4;
-        chosen.longest_wait = std::chrono::seconds(1);
+        chosen.max_wait = std::chrono::seconds(1);
         return chosen;
     }
 
@@ -127,7 +127,7 @@
 TEST_F(request_admission_test, a_ticket_of_another_incarnation_is_not_honoured)
 {
     request_part other = part(1);
-    other.under.minted_by = incarnation(2);
+    other.session_ticket.issued_by = incarnation(2);
     send(other);
     EXPECT_EQ(last_answer().outcome, verdict::may_have_run);
     EXPECT_EQ(last_answer().reason, answer_reason::stale_ticket);
--- a/packages/requests/test/request_caller_test.cpp
+++ b/packages/requests/test/request_caller_test.cpp
@@ -80,7 +80,7 @@
                 duration retry_after = {})
     {
         const auto path =
-            static_cast<path_index>(sent.under.minted_by.value() - 1);
+            static_cast<path_index>(sent.session_ticket.issued_by.value() - 1);
         receive(path, answer_part{sent.id, sent.attempt, outcome, reason,
                                   retry_after, 0, 1, ""});
         grant_tickets();
@@ -278,7 +278,7 @@
 {
     submit(false, milliseconds(100));
     refuse(m_sent.at(0), verdict::may_have_run, answer_reason::stale_ticket);
-    const ticket first = m_sent[0].under;
+    const ticket first = m_sent[0].session_ticket;
     // Other agents answer, and then the first one again, by the same ticket.
     for (std::uint64_t agent = 5; agent < 8; ++agent)
     {
@@ -295,7 +295,7 @@
         refuse(m_sent.back(), verdict::not_run, answer_reason::wrong_kind);
     }
     ASSERT_EQ(m_sent.size(), 4U);
-    EXPECT_EQ(m_sent.back().under, first);
+    EXPECT_EQ(m_sent.back().session_ticket, first);
     for (std::size_t index = 1; index < m_sent.size(); ++index)
     {
         EXPECT_GT(m_sent[index].sequence, m_sent[index - 1].sequence);
@@ -337,7 +337,8 @@
         EXPECT_EQ(m_effects.closed.size(), number);
         wait(milliseconds(20));
         ASSERT_EQ(m_sent.size(), 2 * number);
-        EXPECT_EQ(m_sent.back().under.minted_by, incarnation(number + 1));
+        EXPECT_EQ(m_sent.back().session_ticket.issued_by,
+                  incarnation(number + 1));
         receive(static_cast<path_index>(number), ran(m_sent.back(), 0, 1, ""));
     }
     EXPECT_EQ(m_effects.outcomes.size(), 99U);
--- a/packages/requests/test/work_queue_test.cpp
+++ b/packages/requests/test/work_queue_test.cpp
@@ -94,15 +94,16 @@
 TEST_F(work_queue_test, the_expected_wait_follows_what_was_observed)
 {
     run_times times({weights.begin(), weights.end()}, milliseconds(10));
-    EXPECT_EQ(times.of(heavy), milliseconds(30));
+    EXPECT_EQ(times.expected(heavy), milliseconds(30));
     times.observe(heavy, milliseconds(80));
-    EXPECT_EQ(times.of(heavy), milliseconds(80));
+    EXPECT_EQ(times.expected(heavy), milliseconds(80));
     times.observe(heavy, milliseconds(160));
-    EXPECT_EQ(times.of(heavy), milliseconds(90));
+    EXPECT_EQ(times.expected(heavy), milliseconds(90));
     push_many(light, 40);
     push_many(heavy, 2);
     // Two of its own kind and as much time for the other, on four slots.
-    EXPECT_EQ(times.wait(heavy, m_queue.queues(), 4), milliseconds(90));
+    EXPECT_EQ(times.expected_wait(heavy, m_queue.queues(), 4),
+              milliseconds(90));
     EXPECT_EQ(times.drain_time(m_queue.queues(), 4), milliseconds(145));
 }
 
