--- a/packages/requests/include/crowlink/requests/admission_counts.hpp
+++ b/packages/requests/include/crowlink/requests/admission_counts.hpp
@@ -7,10 +7,10 @@
 namespace crowlink
 {
 
-// What a request_admission holds now and has done since its start.
+// Current state and running totals of a request_admission since its start.
 struct admission_counts
 {
-    // Requests that run, and the sum of their weights; exact.
+    // Number of running requests and the sum of their weights; both exact.
     std::uint32_t running = 0;
     std::uint64_t running_weight = 0;
     std::size_t queued = 0;
@@ -18,9 +18,10 @@
     std::uint64_t started = 0;
     std::uint64_t ended = 0;
     std::uint64_t refused = 0;
-    // Parts of requests known already.
+    // Duplicate messages: parts of known requests, late cancellations and
+    // answers to runs that have ended.
     std::uint64_t duplicates = 0;
-    // Datagrams that broke a rule.
+    // Datagrams that were malformed or reused a sequence for another request.
     std::uint64_t invalid = 0;
 
     friend auto operator<=>(const admission_counts&,
--- a/packages/requests/include/crowlink/requests/admission_effects.hpp
+++ b/packages/requests/include/crowlink/requests/admission_effects.hpp
@@ -22,7 +22,7 @@
                             const admission_datagram&) = default;
 };
 
-// What was decided on a request; one log line each.
+// The kinds of decision about a request. Each decision is logged as one line.
 enum class admission_step : std::uint8_t
 {
     queued,
@@ -43,14 +43,14 @@
                             const admission_decision&) = default;
 };
 
-// What a request_admission wants done; the shell carries it out in order and
-// clears it.
+// Actions requested by a request_admission. Its owner performs them in order
+// and clears the structure.
 struct admission_effects
 {
     std::vector<admission_datagram> to_callers;
     std::vector<std::string> to_upstream;
-    // Weights of the requests that took and that left a slot, for the agent's
-    // count of work in progress.
+    // Weights of the requests that took and that released a slot, for the
+    // agent's count of work in progress.
     std::vector<std::uint32_t> work_started;
     std::vector<std::uint32_t> work_ended;
     std::vector<admission_decision> decisions;
--- a/packages/requests/include/crowlink/requests/answer_part.hpp
+++ b/packages/requests/include/crowlink/requests/answer_part.hpp
@@ -12,7 +12,7 @@
 namespace crowlink
 {
 
-// One datagram of the answer to one attempt of a request.
+// One datagram of the answer to an attempt of a request.
 struct answer_part
 {
     request_id id;
--- a/packages/requests/include/crowlink/requests/answer_reason.hpp
+++ b/packages/requests/include/crowlink/requests/answer_reason.hpp
@@ -6,32 +6,33 @@
 namespace crowlink
 {
 
-// Why a request ended as it did. The numbers travel in messages.
+// Reason for the outcome of a request. The values are part of the wire format.
 enum class answer_reason : std::uint8_t
 {
     // The upstream answered.
     answered = 0,
-    // The agent's queue is full, or its wait is longer than the time left.
+    // The agent's queue or memory is full, or the expected wait is too long.
     overloaded = 1,
     // The deadline passed.
     expired = 2,
-    // The caller cancelled it.
+    // The caller cancelled the request.
     cancelled = 3,
-    // The ticket is of another agent incarnation, or of a forgotten session.
+    // The ticket belongs to another agent incarnation or a forgotten session.
     stale_ticket = 4,
-    // The service has no such kind, or the kind is not idempotent as claimed.
+    // The service has no such kind, or the caller wrongly marked the request
+    // as idempotent.
     wrong_kind = 5,
-    // The upstream died or fell silent while it ran.
+    // The upstream failed or did not answer in time.
     upstream_lost = 6,
-    // The upstream refused or broke it off.
+    // The upstream refused the request or aborted its run.
     upstream_refused = 7,
-    // It ran, but its answer is no longer remembered.
+    // The request ran, but its answer is no longer stored.
     answer_lost = 8,
-    // No agent could be reached in time.
+    // No agent was reached before the deadline.
     unreachable = 9,
-    // The body or the kind's name is longer than a request may be.
+    // The body or the name of the kind exceeds its size limit.
     too_large = 10,
-    // The agent takes no new work: the caller had better open another flow.
+    // The agent accepts no new work; the caller should open another flow.
     draining = 11,
 };
 
--- a/packages/requests/include/crowlink/requests/at_most_once.hpp
+++ b/packages/requests/include/crowlink/requests/at_most_once.hpp
@@ -19,14 +19,14 @@
 class session_table;
 }
 
-// How far a sequence may be ahead of the lowest unsettled one.
+// Number of sequences, from the lowest unsettled one on, that may be in use.
 constexpr std::uint64_t sequence_window = 64;
 
-// The memory by which one agent incarnation runs each (ticket, sequence) at
-// most once. It mints tickets and remembers, for each session, every sequence
-// that it saw and that the caller has not settled; answers are kept for
-// resends. Bounded: an idle session may be forgotten, and its ticket is stale
-// from then on, since session numbers are never reused.
+// Duplicate detection of one agent incarnation: each (ticket, sequence) runs at
+// most once. Issues tickets and stores, for each session, every sequence that
+// was received and that the caller has not settled. Answers are stored so that
+// they can be resent. Memory is bounded: an idle session may be forgotten, and
+// its ticket is stale from then on, because session numbers are never reused.
 class at_most_once
 {
 public:
@@ -35,17 +35,18 @@
     at_most_once& operator=(at_most_once&& other) noexcept;
     ~at_most_once();
 
-    // The ticket for a secret: the one granted before if it is remembered,
-    // else a new one; none while there is no room.
+    // Returns the ticket for a secret: the ticket of the existing session if
+    // there is one, else that of a new session. Returns nothing if the session
+    // limit is reached and no session can be forgotten.
     std::optional<ticket> open(time_point now, std::uint64_t secret);
 
-    // Looks a sequence up and remembers it if it is fresh. What lies below
-    // `settled_below` is forgotten and never fresh again.
+    // Looks up a sequence and stores it if it is new. Sequences below
+    // `settled_below` are forgotten and are never accepted again.
     sequence_lookup sight(time_point now, const ticket& session_ticket,
                           std::uint64_t sequence, std::uint64_t settled_below);
 
-    // Remembers the answer of a pending request. Yields it for sending, or
-    // null if the caller has settled the sequence meanwhile.
+    // Stores the answer to a pending request. Returns the stored answer, or
+    // null if the session or the sequence is no longer stored.
     const request_answer* finish(std::uint64_t session, std::uint64_t sequence,
                                  request_answer answer);
 
--- a/packages/requests/include/crowlink/requests/caller_effects.hpp
+++ b/packages/requests/include/crowlink/requests/caller_effects.hpp
@@ -10,11 +10,11 @@
 namespace crowlink
 {
 
-// Index of one of a caller's flows to the service. A new index asks for a new
-// flow: a socket with another port.
+// Index of one of a caller's flows to the service. A new index requires a new
+// flow, that is, a socket with another port.
 using path_index = std::uint32_t;
 
-// A datagram to send on one path.
+// A datagram to send on a path.
 struct caller_datagram
 {
     path_index path = 0;
@@ -24,12 +24,13 @@
                             const caller_datagram&) = default;
 };
 
-// What a request_caller wants done; the shell carries it out and clears it.
+// Actions requested by a request_caller. Its owner performs them and clears
+// the structure.
 struct caller_effects
 {
     std::vector<caller_datagram> datagrams;
     std::vector<request_outcome> outcomes;
-    // Paths that will never be used again.
+    // Paths that are no longer used; their sockets can be closed.
     std::vector<path_index> closed;
 
     friend bool operator==(const caller_effects&,
--- a/packages/requests/include/crowlink/requests/caller_settings.hpp
+++ b/packages/requests/include/crowlink/requests/caller_settings.hpp
@@ -10,30 +10,32 @@
 namespace crowlink
 {
 
-// How a request_caller behaves.
+// Settings of a request_caller.
 struct caller_settings
 {
-    // The flows that it keeps to the service.
+    // Number of flows to the service.
     path_index paths = 2;
-    // Requests without an outcome at one time; one more is refused at once.
+    // Maximum number of outstanding requests; any further request is refused
+    // immediately.
     std::size_t outstanding_limit = 1024;
-    // Resends and retries, as a fraction of fresh requests, and how many may
-    // be saved up.
+    // Resends and retries allowed per new request, and the maximum number of
+    // unused ones that accumulate.
     double retry_ratio = 0.1;
     double retry_burst = 10;
-    // Attempts of one request, each under its own ticket and sequence.
+    // Maximum attempts per request. Each attempt has its own sequence.
     std::uint32_t attempt_limit = 4;
-    // Sends of one attempt. An idempotent request goes elsewhere after two.
+    // Maximum sends per attempt. An idempotent request tries another path after
+    // two.
     std::uint32_t send_limit = 6;
-    // Unanswered for this long, an attempt is sent again; doubles each time.
-    // Longer where answers were observed to take longer.
+    // Initial resend timeout of an attempt, doubled with each send. It is
+    // longer if the observed response times are longer.
     duration resend_after = std::chrono::milliseconds(50);
-    // The least wait after a refusal; doubles with each attempt.
+    // Base delay of a retry after a refusal, doubled with each attempt.
     duration backoff = std::chrono::milliseconds(5);
-    // How long a cancelled request waits for the agent's word.
+    // Time for which a cancelled request waits for the agent's confirmation.
     duration cancel_timeout = std::chrono::milliseconds(100);
-    // A path that heard nothing for this long asks again before it sends a
-    // request that is not idempotent.
+    // Time after its last confirmation for which a ticket is used without a new
+    // confirmation. Applies to requests that are not idempotent.
     duration ticket_validity = std::chrono::seconds(2);
 
     friend auto operator<=>(const caller_settings&,
--- a/packages/requests/include/crowlink/requests/fair_order.hpp
+++ b/packages/requests/include/crowlink/requests/fair_order.hpp
@@ -6,8 +6,8 @@
 {
 
 // Start-time fair queueing (Goyal, Vin and Cheng 1996) over kinds: each kind
-// with waiting requests gets an equal share of the started weight. The kind
-// with the most waiting weight is shed from.
+// with waiting requests gets an equal share of the started weight. Load is shed
+// from the kind with the most waiting weight.
 class fair_order
 {
 public:
@@ -20,9 +20,9 @@
                          const kind_queues& queues) const;
 
 private:
-    // The virtual start time of each kind's oldest request.
+    // Virtual start time of the oldest request of each kind.
     std::vector<std::uint64_t> m_starts;
-    // The virtual start time of the request that was started last.
+    // Virtual start time of the most recently started request.
     std::uint64_t m_virtual_time = 0;
 };
 
--- a/packages/requests/include/crowlink/requests/memory_limits.hpp
+++ b/packages/requests/include/crowlink/requests/memory_limits.hpp
@@ -8,14 +8,15 @@
 namespace crowlink
 {
 
-// What an at_most_once memory may hold.
+// Limits of an at_most_once memory.
 struct memory_limits
 {
     std::size_t sessions = 20000;
-    // Remembered answers' body bytes; beyond, the oldest are forgotten.
+    // Body bytes of stored answers. Beyond this limit, the oldest answers are
+    // forgotten.
     std::size_t answer_bytes = std::size_t{16} << 20U;
-    // A session that was not used for this long may be forgotten; until then
-    // new ones are refused if there is no room.
+    // A session that has been idle for this long may be forgotten. If the
+    // limit is reached and no session is idle, new sessions are refused.
     duration session_idle_timeout = std::chrono::seconds(10);
 
     friend auto operator<=>(const memory_limits&,
--- a/packages/requests/include/crowlink/requests/message_codec.hpp
+++ b/packages/requests/include/crowlink/requests/message_codec.hpp
@@ -18,27 +18,27 @@
 namespace crowlink
 {
 
-// The body bytes in one datagram between caller and agent, so that a datagram
-// fits an Ethernet frame through the tunnel to the agent.
+// Maximum body bytes in one datagram between caller and agent. With the tunnel
+// headers to the agent, the datagram fits an Ethernet frame.
 constexpr std::size_t part_body_limit = 1100;
-// The parts of one request or answer.
+// Maximum number of parts of a request or answer.
 constexpr std::uint32_t part_limit = 64;
-// The body bytes of one request or answer as a whole.
+// Maximum body bytes of a request or answer over all its parts.
 constexpr std::size_t body_limit = part_body_limit * part_limit;
-// The bytes of a kind's name.
+// Maximum length of the name of a kind, in bytes.
 constexpr std::size_t kind_name_limit = 64;
-// The longest remaining time that is taken; a longer one is cut to it.
+// Longest duration that is decoded; longer ones are clamped to it.
 constexpr duration remaining_limit = std::chrono::hours(1);
 
-// What a caller sends to a service.
+// Messages from a caller to a service.
 using caller_message = std::variant<open_session, request_part, request_cancel>;
-// What an agent sends to a caller.
+// Messages from an agent to a caller.
 using agent_message = std::variant<session_opened, answer_part>;
-// What an agent sends to its upstream.
+// Messages from an agent to its upstream.
 using upstream_command = std::variant<upstream_run, upstream_cancel>;
 
-// Datagrams are the protobuf messages of requests.proto, one each. Decoders
-// take any bytes; an error names the first field that breaks a rule.
+// Each datagram holds one protobuf message of requests.proto. Decoders accept
+// arbitrary bytes; an error names the first invalid field.
 std::string encode(const caller_message& message);
 std::string encode(const agent_message& message);
 std::string encode(const upstream_command& message);
--- a/packages/requests/include/crowlink/requests/open_session.hpp
+++ b/packages/requests/include/crowlink/requests/open_session.hpp
@@ -6,8 +6,8 @@
 namespace crowlink
 {
 
-// A caller's wish for a session. Idempotent: an agent that remembers the
-// secret grants the same session again.
+// Asks an agent for a session. Idempotent: an agent that knows the secret
+// grants the same session again.
 struct open_session
 {
     std::uint64_t secret = 0;
--- a/packages/requests/include/crowlink/requests/outgoing_request.hpp
+++ b/packages/requests/include/crowlink/requests/outgoing_request.hpp
@@ -8,13 +8,13 @@
 namespace crowlink
 {
 
-// A request as a client hands it to the caller's library.
+// A request as submitted by the application.
 struct outgoing_request
 {
     std::string kind;
-    // Whether it may run more than once.
+    // Whether the request may run more than once.
     bool idempotent = false;
-    // The time from now by which its outcome must be known.
+    // Time from submission until the outcome is due.
     duration deadline = std::chrono::seconds(1);
     std::string body;
 
--- a/packages/requests/include/crowlink/requests/part_assembly.hpp
+++ b/packages/requests/include/crowlink/requests/part_assembly.hpp
@@ -10,20 +10,20 @@
 namespace crowlink
 {
 
-// Puts the parts of one body together, in whatever order and however often
-// they arrive.
+// Reassembles a body from its parts, which may arrive in any order and more
+// than once.
 class part_assembly
 {
 public:
-    // Takes one part and yields the bytes it added: none for a duplicate, or
-    // for a part that contradicts the count of the first one.
+    // Adds a part and returns the number of bytes added: 0 for a duplicate, or
+    // for a part whose count of parts differs from that of the first.
     std::size_t add(std::uint32_t part, std::uint32_t parts,
                     std::string_view body);
 
     bool is_complete() const { return m_missing == 0 && !m_bodies.empty(); }
     std::size_t bytes() const { return m_bytes; }
 
-    // The whole body. Requires whole(); leaves the assembly empty.
+    // Returns the body and clears the assembly. Requires is_complete().
     std::string take();
 
 private:
@@ -32,10 +32,10 @@
     std::size_t m_bytes = 0;
 };
 
-// The number of parts that a body is cut into; at least one.
+// Returns the number of parts into which a body is split; at least one.
 std::uint32_t part_count(std::string_view body);
 
-// The bytes of one part of a body.
+// Returns the bytes of one part of a body.
 std::string_view body_slice(std::string_view body, std::uint32_t part);
 
 } // namespace crowlink
--- a/packages/requests/include/crowlink/requests/queue_order.hpp
+++ b/packages/requests/include/crowlink/requests/queue_order.hpp
@@ -8,9 +8,10 @@
 namespace crowlink
 {
 
-// Decides which kind's oldest request starts next, and from which kind's
-// newest one is shed when the queue is full. Within a kind, order is always
-// that of arrival. `pushed` and `taken` are called before the queues change.
+// Scheduling policy of a work_queue: chooses the kind whose oldest request
+// starts next, and the kind whose newest request is shed when the queue is
+// full. Within a kind, requests start in the order of arrival. `pushed` and
+// `taken` are called before the queues change.
 template <class Order>
 concept queue_order = requires(Order& order, const Order& decided,
                                const kind_queues& queues,
--- a/packages/requests/include/crowlink/requests/queued_work.hpp
+++ b/packages/requests/include/crowlink/requests/queued_work.hpp
@@ -8,7 +8,7 @@
 namespace crowlink
 {
 
-// Index of a kind in its service's document.
+// Index of a kind in the document of its service.
 using kind_index = std::uint32_t;
 
 // A request that waits for a slot.
@@ -17,14 +17,14 @@
     std::uint64_t job = 0;
     kind_index kind = 0;
     std::uint32_t weight = 1;
-    // Rises with each arrival.
+    // Arrival number; increases with each push.
     std::uint64_t arrival = 0;
 
     friend auto operator<=>(const queued_work&, const queued_work&) = default;
 };
 
-// The waiting requests of one kind in the order of their arrival, and the sum
-// of their weights.
+// The queued requests of one kind in the order of arrival, and the sum of their
+// weights.
 struct kind_queue
 {
     std::deque<queued_work> waiting;
--- a/packages/requests/include/crowlink/requests/remembered_request.hpp
+++ b/packages/requests/include/crowlink/requests/remembered_request.hpp
@@ -9,17 +9,17 @@
 namespace crowlink
 {
 
-// What is remembered of one sequence of a session.
+// The stored state of one sequence of a session.
 struct remembered_request
 {
     std::uint64_t sequence = 0;
-    // The request that it was first used for.
+    // The request for which the sequence was first used.
     request_id id;
-    // The job that works on it; meaningless once there is an answer.
+    // The job of the pending request; not valid once there is an answer.
     std::uint64_t job = 0;
-    // Null while it is pending.
+    // Null while the request is pending.
     std::unique_ptr<const request_answer> answer;
-    // Its place among the answers in the order of their age.
+    // Number of the answer in order of age; the oldest is evicted first.
     std::uint64_t answer_number = 0;
 };
 
--- a/packages/requests/include/crowlink/requests/request_admission.hpp
+++ b/packages/requests/include/crowlink/requests/request_admission.hpp
@@ -18,47 +18,48 @@
 class admission_core;
 }
 
-// An agent's side of requests over datagrams, without I/O: it stands between
-// the packet path and the upstream of a service whose document lists kinds.
-// A request runs at most once under its ticket and sequence; one that cannot
-// start in time is refused at once with the time to come back.
+// The agent's side of requests over datagrams, without I/O, between the packet
+// path and the upstream of a service whose document lists kinds. A request runs
+// at most once under its ticket and sequence. A request that cannot start in
+// time is refused immediately with a delay after which to retry.
 class request_admission
 {
 public:
-    // The incarnation must differ at every start of the agent.
+    // The incarnation must be unique to each start of the agent.
     request_admission(const admission_settings& settings, incarnation own);
     request_admission(request_admission&& other) noexcept;
     request_admission& operator=(request_admission&& other) noexcept;
     ~request_admission();
 
-    // Takes one datagram of a caller, as delivered by the packet path.
+    // Handles a datagram from a caller, as delivered by the packet path.
     void handle_datagram(time_point now, const flow_key& flow,
                          std::string_view datagram, admission_effects& effects);
 
-    // Takes one datagram of the upstream.
+    // Handles a datagram from the upstream.
     void handle_upstream(time_point now, std::string_view datagram,
                          admission_effects& effects);
 
-    // The upstream died: what ran may have run, and nothing starts until
-    // upstream_ready().
+    // Ends all running requests as may_have_run and refuses the queued ones,
+    // because the upstream has failed. Nothing starts until upstream_ready().
     void upstream_lost(admission_effects& effects);
     void upstream_ready(time_point now, admission_effects& effects);
 
-    // The upstream is leaving: what was admitted still runs, and nothing else
-    // is. Callers are told to open other flows, and do so within the time that
-    // they rely on a ticket unconfirmed (caller_settings), so an agent stays
-    // for longer than that and until nothing runs or waits.
+    // Drains the agent: admitted requests still run, and new ones are refused.
+    // Callers are told to open other flows and do so within
+    // caller_settings::ticket_validity, so the agent must stay up for longer
+    // than that and until no request is running or queued.
     void drain();
 
-    // The service's document or the limits changed. What runs runs on; queued
-    // requests of a kind that is gone are refused.
+    // Applies a change of the service's document or of the limits. Running
+    // requests continue; queued requests of a removed kind are refused.
     void apply(time_point now, const admission_settings& settings,
                admission_effects& effects);
 
-    // Does what is due. To be called at next_wakeup() or later.
+    // Handles expired timers. To be called at next_wakeup() or later.
     void advance(time_point now, admission_effects& effects);
 
-    // When something is due next; time_point::max() if nothing is.
+    // Returns the time of the earliest timer, or time_point::max() if none is
+    // set.
     time_point next_wakeup() const;
 
     const admission_counts& counts() const;
--- a/packages/requests/include/crowlink/requests/request_answer.hpp
+++ b/packages/requests/include/crowlink/requests/request_answer.hpp
@@ -10,8 +10,9 @@
 namespace crowlink
 {
 
-// The whole answer to a request. The body belongs to verdict `ran` alone; a
-// refusal says in `retry_after` when to come back.
+// The complete answer to a request. Only an answer with verdict `ran` has a
+// body; `retry_after` is the delay after which a refused request may be
+// retried.
 struct request_answer
 {
     verdict outcome = verdict::may_have_run;
--- a/packages/requests/include/crowlink/requests/request_cancel.hpp
+++ b/packages/requests/include/crowlink/requests/request_cancel.hpp
@@ -9,7 +9,7 @@
 namespace crowlink
 {
 
-// A caller's wish that one attempt not run, or stop if it runs.
+// Asks an agent not to run an attempt, or to stop it if it is running.
 struct request_cancel
 {
     request_id id;
--- a/packages/requests/include/crowlink/requests/request_id.hpp
+++ b/packages/requests/include/crowlink/requests/request_id.hpp
@@ -6,8 +6,8 @@
 namespace crowlink
 {
 
-// Identifies one request of one caller. The caller part is drawn at random by
-// each start of a caller; numbers rise from one.
+// Identifies a request of a caller. The caller id is chosen at random at each
+// start of a caller; request numbers increase from one.
 struct request_id
 {
     std::uint64_t caller = 0;
--- a/packages/requests/include/crowlink/requests/request_outcome.hpp
+++ b/packages/requests/include/crowlink/requests/request_outcome.hpp
@@ -9,12 +9,12 @@
 namespace crowlink
 {
 
-// The one final outcome of a request. The verdict covers all its attempts.
+// The final outcome of a request. The verdict covers all its attempts.
 struct request_outcome
 {
     request_id id;
     request_answer answer;
-    // How many attempts were made, under a ticket and sequence each.
+    // Number of attempts made, each with its own sequence.
     std::uint32_t attempts = 0;
 
     friend auto operator<=>(const request_outcome&,
--- a/packages/requests/include/crowlink/requests/request_part.hpp
+++ b/packages/requests/include/crowlink/requests/request_part.hpp
@@ -11,19 +11,19 @@
 namespace crowlink
 {
 
-// One datagram of one attempt of a request. Every part carries the whole
-// header, since parts arrive in any order.
+// One datagram of an attempt of a request. Each part carries the full header,
+// because parts may arrive in any order.
 struct request_part
 {
     request_id id;
     std::uint32_t attempt = 1;
     ticket session_ticket;
     std::uint64_t sequence = 0;
-    // The caller never again sends a sequence of this session below this one.
+    // The caller will send no sequence of this session below this one again.
     std::uint64_t settled_below = 0;
-    // The name of the request's kind in the service's document.
+    // Name of the request's kind in the service's document.
     std::string kind;
-    // Whether the caller holds the kind to be idempotent.
+    // Whether the caller considers the request idempotent.
     bool idempotent = false;
     // Time left until the deadline when the part was sent.
     duration remaining{};
--- a/packages/requests/include/crowlink/requests/retry_budget.hpp
+++ b/packages/requests/include/crowlink/requests/retry_budget.hpp
@@ -3,8 +3,8 @@
 namespace crowlink
 {
 
-// A token bucket that fresh requests fill and retries empty: however many
-// requests fail, the retries stay below a fixed fraction of the fresh ones.
+// Token bucket that new requests fill and retries drain. However many requests
+// fail, retries are limited to a fixed fraction of new requests plus a burst.
 class retry_budget
 {
 public:
@@ -13,10 +13,10 @@
     {
     }
 
-    // Counts one fresh request.
+    // Credits the budget for one new request.
     void deposit();
 
-    // Takes the token for one retry, if there is one.
+    // Takes the token for one retry. Returns false if there is none.
     bool withdraw();
 
 private:
--- a/packages/requests/include/crowlink/requests/run_id.hpp
+++ b/packages/requests/include/crowlink/requests/run_id.hpp
@@ -8,8 +8,8 @@
 namespace crowlink
 {
 
-// Numbers one run at an upstream. The incarnation is that of the agent, so
-// that answers to an agent's earlier life are not taken for its own.
+// Identifies a run at an upstream. Contains the incarnation of the agent so
+// that answers to an earlier incarnation are rejected.
 struct run_id
 {
     incarnation agent;
--- a/packages/requests/include/crowlink/requests/run_times.hpp
+++ b/packages/requests/include/crowlink/requests/run_times.hpp
@@ -10,30 +10,31 @@
 namespace crowlink
 {
 
-// How long requests of each kind run, as an exponentially weighted moving
-// average of what was observed, and the waits that follow from it.
+// Estimates the run time of each kind as an exponentially weighted moving
+// average of the observed run times, and the resulting queueing delays.
 class run_times
 {
 public:
-    // The weights of the kinds; until a kind has been observed, it is taken to
-    // run for its weight times `per_weight`.
+    // Takes the weights of the kinds. Until a run of a kind has been observed,
+    // its run time is assumed to be its weight times `per_weight`.
     run_times(std::vector<std::uint32_t> weights, duration per_weight);
 
     void observe(kind_index kind, duration run);
 
-    // The observed mean, if there is one; else of() goes by the weight.
+    // Returns the mean of the observed run times, if there are any.
     std::optional<duration> observed_mean(kind_index kind) const
     {
         return m_observed[kind];
     }
     duration expected(kind_index kind) const;
 
-    // The expected wait of a request of this kind that arrives now, with fair
-    // queueing over the kinds that wait.
+    // Returns the expected queueing delay of a request of this kind that
+    // arrives now, with fair queueing over the kinds that have waiting
+    // requests.
     duration expected_wait(kind_index kind, const kind_queues& queues,
                            std::uint32_t slots) const;
 
-    // The time in which all that waits will have started.
+    // Returns the expected time until all queued requests have started.
     duration drain_time(const kind_queues& queues, std::uint32_t slots) const;
 
 private:
--- a/packages/requests/include/crowlink/requests/sequence_lookup.hpp
+++ b/packages/requests/include/crowlink/requests/sequence_lookup.hpp
@@ -7,25 +7,26 @@
 namespace crowlink
 {
 
-// What an at_most_once memory knows of a (ticket, sequence).
+// Status of a (ticket, sequence) in an at_most_once memory.
 enum class sequence_status : std::uint8_t
 {
-    // Never seen before, and remembered from now on: it may be run.
+    // Not seen before, and now stored; the request may run.
     fresh,
-    // Seen before; the remembered request says how it stands.
+    // Seen before; the stored request holds its state.
     known,
-    // The caller has said that it would not come again: a late duplicate.
+    // Settled by the caller, hence a late duplicate.
     settled,
-    // Further ahead than the window reaches: the caller breaks the rules.
+    // Beyond the sequence window, in violation of the protocol.
     beyond_window,
-    // The ticket is not of this incarnation, or its session is forgotten.
+    // The ticket belongs to another incarnation or a forgotten session, or its
+    // secret is wrong.
     stale,
 };
 
 struct sequence_lookup
 {
     sequence_status kind = sequence_status::stale;
-    // Set for `fresh` and `known`; valid until the memory is next changed.
+    // Set for `fresh` and `known`; valid until the next change of the memory.
     remembered_request* request = nullptr;
 };
 
--- a/packages/requests/include/crowlink/requests/ticket.hpp
+++ b/packages/requests/include/crowlink/requests/ticket.hpp
@@ -8,9 +8,10 @@
 namespace crowlink
 {
 
-// The right to have requests run by one agent incarnation, which alone honours
-// it. The session is numbered by the agent and never reused; the secret was
-// drawn by the caller, so that no other caller can guess a ticket.
+// Authorizes a caller to have requests run by one agent incarnation; no other
+// incarnation accepts the ticket. The agent assigns the session number and
+// never reuses it. The caller chooses the secret at random, so that no other
+// caller can guess the ticket.
 struct ticket
 {
     incarnation issued_by;
--- a/packages/requests/include/crowlink/requests/udp_request_client.hpp
+++ b/packages/requests/include/crowlink/requests/udp_request_client.hpp
@@ -12,9 +12,9 @@
 namespace crowlink
 {
 
-// A request_caller bound to UDP sockets and the machine's clock. Each of its
-// paths is one connected socket with a port of its own, hence one flow; with
-// several addresses, paths take them in turn. For one thread.
+// A request_caller on UDP sockets and the steady clock. Each path is a
+// connected socket with its own port and hence a flow of its own. Several
+// addresses are assigned to the paths in turn. Not thread-safe.
 //
 //   auto client = udp_request_client::open(settings, {address});
 //   client->send({"hold", false, std::chrono::milliseconds(500), body});
@@ -22,7 +22,8 @@
 class udp_request_client
 {
 public:
-    // Fails if there is no address or a socket can't be had.
+    // Fails with `invalid` if there is no address or no path, and with
+    // `unavailable` if a socket cannot be opened.
     static result<udp_request_client>
     open(const caller_settings& settings,
          const std::vector<endpoint>& services);
@@ -31,17 +32,17 @@
     udp_request_client& operator=(udp_request_client&& other) noexcept;
     ~udp_request_client();
 
-    // Sends a request without blocking; its outcome comes from poll().
+    // Sends a request without blocking; poll() returns its outcome.
     request_id send(outgoing_request request);
 
-    // Gives a request up; its outcome still comes from poll().
+    // Cancels a request; poll() still returns its outcome.
     void cancel(request_id id);
 
-    // Does what is due, waits for datagrams until there is an outcome or for
-    // at most this long, and yields the outcomes.
+    // Handles expired timers, waits for datagrams until there is an outcome or
+    // `max_wait` has passed, and returns the outcomes.
     std::vector<request_outcome> poll(duration max_wait);
 
-    // Requests without an outcome yet.
+    // Returns the number of requests without an outcome.
     std::size_t outstanding() const;
 
 private:
--- a/packages/requests/include/crowlink/requests/upstream_answer.hpp
+++ b/packages/requests/include/crowlink/requests/upstream_answer.hpp
@@ -10,8 +10,9 @@
 namespace crowlink
 {
 
-// An upstream's answer to a run. Verdict not_run: it was shed, had expired or
-// was cancelled before it started; may_have_run: it was broken off.
+// An upstream's answer to a run. The verdict is not_run if the run was shed,
+// had expired or was cancelled before it started, and may_have_run if it was
+// aborted.
 struct upstream_answer
 {
     run_id id;
--- a/packages/requests/include/crowlink/requests/upstream_cancel.hpp
+++ b/packages/requests/include/crowlink/requests/upstream_cancel.hpp
@@ -7,7 +7,7 @@
 namespace crowlink
 {
 
-// An agent's wish that its upstream stop a run, or never start it.
+// Asks an upstream to stop a run, or not to start it.
 struct upstream_cancel
 {
     run_id id;
--- a/packages/requests/include/crowlink/requests/upstream_run.hpp
+++ b/packages/requests/include/crowlink/requests/upstream_run.hpp
@@ -9,8 +9,8 @@
 namespace crowlink
 {
 
-// An agent's order to its upstream to run one request; sent once, never
-// resent.
+// Tells an upstream to run a request. Sent only once, so that the request runs
+// at most once.
 struct upstream_run
 {
     run_id id;
--- a/packages/requests/include/crowlink/requests/work_queue.hpp
+++ b/packages/requests/include/crowlink/requests/work_queue.hpp
@@ -8,7 +8,7 @@
 namespace crowlink
 {
 
-// The requests that wait for a slot, bounded over all kinds.
+// The requests that wait for a slot, with one limit over all kinds.
 template <queue_order Order>
 class work_queue
 {
@@ -18,8 +18,8 @@
     {
     }
 
-    // Adds a request. Yields the one that is shed to make room, which may be
-    // the new one itself.
+    // Adds a request. Returns the request that is shed to make room, if any,
+    // which may be the new one.
     std::optional<queued_work> push(queued_work work)
     {
         work.arrival = ++m_arrivals;
@@ -40,7 +40,7 @@
         return shed;
     }
 
-    // Takes the request that starts next.
+    // Removes and returns the request that starts next.
     std::optional<queued_work> pop()
     {
         if (m_size == 0)
@@ -56,7 +56,7 @@
         return work;
     }
 
-    // Takes a request out, wherever it waits; nothing happens if it does not.
+    // Removes a request from the queue. Has no effect if it is not queued.
     void remove(kind_index kind, std::uint64_t job)
     {
         if (kind >= m_queues.size())
--- a/packages/requests/src/admission_core.hpp
+++ b/packages/requests/src/admission_core.hpp
@@ -18,7 +18,7 @@
 namespace crowlink::internal
 {
 
-// Where a caller's message came from and when, and where effects go.
+// The arrival time and flow of a caller's message, and the resulting effects.
 struct message_context
 {
     time_point now;
@@ -45,12 +45,12 @@
     const admission_counts& counts() const { return m_counts; }
 
 private:
-    // One overload for each message of a caller.
+    // One overload per type of caller message.
     void handle(const message_context& context, const open_session& message);
     void handle(const message_context& context, const request_part& message);
     void handle(const message_context& context, const request_cancel& message);
 
-    // Receiving.
+    // Reception.
     void create_job(const message_context& context, const request_part& message,
                     remembered_request& remembered);
     void add_part(const message_context& context, const request_part& message,
@@ -60,7 +60,7 @@
     void refuse_stale(const message_context& context, request_id id,
                       std::uint32_t attempt);
 
-    // Queueing and running.
+    // Admission and execution.
     void admit(time_point now, job& received, admission_effects& effects);
     std::optional<answer_reason> refusal_reason(time_point now,
                                                 const job& received) const;
--- a/packages/requests/src/admission_receive.cpp
+++ b/packages/requests/src/admission_receive.cpp
@@ -1,4 +1,4 @@
-// The part of admission_core that takes callers' messages.
+// The part of admission_core that handles messages of callers.
 
 #include "admission_core.hpp"
 
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Charged to the limit on body bytes for each job, so that many small
-// requests are bounded too.
+// Bytes counted towards the limit on body bytes for each job, so that the
+// number of small requests is bounded too.
 constexpr std::size_t job_overhead = 512;
 
 } // namespace
@@ -75,7 +75,7 @@
     }
     if (lookup.request->id != message.id)
     {
-        // One request must never get the answer to another.
+        // A request must never get the answer to another request.
         ++m_counts.invalid;
         return;
     }
@@ -85,7 +85,8 @@
         return;
     }
     ++m_counts.duplicates;
-    // One answer for a resend of several parts.
+    // Only the first part triggers the answer, so that a resend of several
+    // parts gets a single answer.
     if (message.part == 0)
     {
         resend_answer(context, message.id, message.attempt,
@@ -117,7 +118,7 @@
     if (lookup.kind == sequence_status::fresh)
     {
         lookup.request->id = message.id;
-        // Remembered, so that the request itself does not run if it is late.
+        // Stored so that the request does not run if it arrives later.
         const request_answer* answer = m_memory.finish(
             message.session_ticket.session, message.sequence,
             request_answer{verdict::not_run, answer_reason::cancelled, {}, {}});
--- a/packages/requests/src/admission_run.cpp
+++ b/packages/requests/src/admission_run.cpp
@@ -1,4 +1,4 @@
-// The part of admission_core that queues requests and has them run.
+// The part of admission_core that queues and starts requests.
 
 #include "admission_core.hpp"
 
@@ -85,7 +85,7 @@
             pending.push_back(entry.first);
         }
     }
-    // In the order of arrival, so that a run repeats.
+    // Sorted by arrival for deterministic results.
     std::sort(pending.begin(), pending.end());
     for (const std::uint64_t number : pending)
     {
--- a/packages/requests/src/agent_messages.cpp
+++ b/packages/requests/src/agent_messages.cpp
@@ -56,17 +56,20 @@
     }
     if (from.reason() > static_cast<std::uint32_t>(last_answer_reason))
     {
-        return fail(error_kind::invalid, "answer.reason", "is no known reason");
+        return fail(error_kind::invalid, "answer.reason",
+                    "is no known reason");
     }
     if (from.parts() == 0 || from.parts() > part_limit ||
         from.part() >= from.parts())
     {
-        return fail(error_kind::invalid, "answer.part",
-                    "is outside of the parts");
+        return fail(
+            error_kind::invalid, "answer.part",
+            "is not below the number of parts or exceeds the part limit");
     }
     if (from.body().size() > part_body_limit)
     {
-        return fail(error_kind::invalid, "answer.body", "is too long");
+        return fail(error_kind::invalid, "answer.body",
+                    "is too long for one part");
     }
     answer_part part;
     part.id = read(from.id());
--- a/packages/requests/src/caller_core.hpp
+++ b/packages/requests/src/caller_core.hpp
@@ -98,7 +98,7 @@
     response_time_estimator m_response_time;
     caller_paths m_paths;
     std::unordered_map<std::uint64_t, caller_request> m_requests;
-    // Requests in phase waiting, oldest first.
+    // Numbers of the requests in phase waiting, oldest first.
     std::set<std::uint64_t> m_waiting;
     timer_queue m_request_timers;
     timer_queue m_path_timers;
--- a/packages/requests/src/caller_messages.cpp
+++ b/packages/requests/src/caller_messages.cpp
@@ -49,16 +49,19 @@
     if (from.parts() == 0 || from.parts() > part_limit ||
         from.part() >= from.parts())
     {
-        return fail(error_kind::invalid, "request.part",
-                    "is outside of the parts");
+        return fail(
+            error_kind::invalid, "request.part",
+            "is not below the number of parts or exceeds the part limit");
     }
     if (from.body().size() > part_body_limit)
     {
-        return fail(error_kind::invalid, "request.body", "is too long");
+        return fail(error_kind::invalid, "request.body",
+                    "is too long for one part");
     }
     if (from.kind().size() > kind_name_limit)
     {
-        return fail(error_kind::invalid, "request.kind", "is too long");
+        return fail(error_kind::invalid, "request.kind",
+                    "is too long for the name of a kind");
     }
     request_part part;
     part.id = read(from.id());
--- a/packages/requests/src/caller_path.hpp
+++ b/packages/requests/src/caller_path.hpp
@@ -10,11 +10,11 @@
 namespace crowlink::internal
 {
 
-// One flow of a caller: its ticket and the sequences under it.
+// A flow of a caller, with its ticket and sequences.
 class caller_path
 {
 public:
-    // The tries are those of the path that this one replaces.
+    // `openings_sent` continues the count of the path that this one replaces.
     explicit caller_path(std::uint32_t openings_sent = 0)
         : m_openings_sent(openings_sent)
     {
@@ -26,33 +26,33 @@
     std::uint64_t secret() const { return m_secret; }
     time_point refused_until() const { return m_refused_until; }
 
-    // Starts an exchange for a ticket. The secret is kept while there is a
-    // ticket to be confirmed, else `drawn` is the new one.
+    // Starts an exchange for a ticket. Keeps the secret if there is a ticket to
+    // be confirmed, else uses `new_secret`.
     void begin_opening(std::uint64_t new_secret);
     void count_opening() { ++m_openings_sent; }
     void end_opening() { m_opening = false; }
 
-    // An attempt went unanswered: unless something was heard since it was sent,
-    // the path is to be confirmed before it is used again.
+    // Called when an attempt went unanswered. Unless the path was confirmed
+    // since the attempt was sent, it must be confirmed before its next use.
     void require_confirmation(time_point sent);
     bool confirmation_required() const { return m_confirmation_required; }
 
-    // A ticket was granted: the one before, or another if the path now leads
-    // to another agent.
+    // Stores a granted ticket: the previous one, or a new one if the path now
+    // leads to another agent.
     void grant(time_point now, const ticket& fresh);
     void refuse_until(time_point until) { m_refused_until = until; }
 
-    // The agent no longer honours this ticket.
+    // Discards a ticket that the agent no longer accepts.
     void invalidate(const ticket& stale);
 
-    // The agent answered under this ticket.
+    // Records that the agent answered under this ticket.
     void confirm(time_point now, const ticket& session_ticket);
 
-    // Whether a request may be sent; one that runs at most once needs a ticket
-    // that was confirmed after `confirmed_since`.
+    // Whether a request may be sent. If `confirmed_since` is given, the ticket
+    // must have been confirmed at that time or later.
     bool usable(std::optional<time_point> confirmed_since) const;
 
-    // Whether an exchange for a ticket is needed before that.
+    // Whether an exchange for a ticket is needed before a request is sent.
     bool needs_opening(std::optional<time_point> confirmed_since) const;
 
     std::uint64_t take_sequence();
@@ -65,11 +65,11 @@
     std::uint64_t m_secret = 0;
     bool m_opening = false;
     bool m_confirmation_required = false;
-    // Openings that were sent since a ticket was granted.
+    // Number of openings sent since a ticket was last granted.
     std::uint32_t m_openings_sent = 0;
     time_point m_last_confirmed{};
     time_point m_refused_until{};
-    // Never starts anew: a path may come back to an agent that remembers its
+    // Never reset: the path may lead again to an agent that still knows its
     // secret and earlier sequences.
     std::uint64_t m_next_sequence = 1;
     std::set<std::uint64_t> m_unsettled;
--- a/packages/requests/src/caller_paths.hpp
+++ b/packages/requests/src/caller_paths.hpp
@@ -10,9 +10,9 @@
 namespace crowlink::internal
 {
 
-// The paths of a caller. A fixed number are in use and take turns; one that
-// was replaced is kept until its last request is settled. Indices rise and are
-// never reused.
+// The paths of a caller. A fixed number of paths is in use, in round-robin
+// order. A replaced path is kept until its last request is settled. Indices
+// increase and are never reused.
 class caller_paths
 {
 public:
@@ -20,26 +20,26 @@
 
     std::size_t count() const { return m_active.size(); }
 
-    // A path that is in use or not yet settled; null for any other index.
+    // Returns a path that is in use or not yet settled, or null.
     caller_path* find(path_index path);
     caller_path& at(path_index path) { return m_paths.at(path); }
     const caller_path& at(path_index path) const { return m_paths.at(path); }
     bool in_use(path_index path) const;
 
-    // The paths in use in turn, from the one after that of the last request.
+    // Returns the path in use that is `step` positions after the next in turn.
     path_index at_turn(std::size_t step) const;
     void advance_turn(path_index path);
     path_index after(path_index path) const;
 
-    // Puts a new path in the place of one that is in use.
+    // Replaces a path in use by a new one and returns the index of the new one.
     path_index replace(path_index path);
 
-    // Settles a sequence and yields whether it was the last one of a path that
-    // is no longer in use; that path is then forgotten.
+    // Settles a sequence. If it was the last one of a path no longer in use,
+    // removes that path and returns true.
     bool settle(path_index path, std::uint64_t sequence);
 
-    // When the first path may be asked again of all that were refused a
-    // ticket; in the past if one was not refused.
+    // Returns the earliest time at which a path may request a ticket again
+    // after a refusal. Lies in the past if a path was not refused.
     time_point earliest_retry() const;
 
 private:
--- a/packages/requests/src/caller_receive.cpp
+++ b/packages/requests/src/caller_receive.cpp
@@ -1,4 +1,4 @@
-// The part of caller_core that takes agents' messages and opens paths.
+// The part of caller_core that handles messages of agents and opens paths.
 
 #include "caller_core.hpp"
 #include "crowlink/requests/message_codec.hpp"
@@ -12,9 +12,9 @@
 namespace
 {
 
-// A path's opening is resent at most this many doublings apart.
+// Limit on the doublings of the resend timeout of an opening.
 constexpr std::uint32_t max_doublings = 6;
-// Unanswered openings after which a new flow takes a path's place.
+// Unanswered openings after which a path is replaced by a new flow.
 constexpr std::uint32_t max_openings_per_path = 3;
 
 bool is_retryable(answer_reason reason)
@@ -77,7 +77,8 @@
     refuse_waiting(now, effects);
 }
 
-// Ends what waits if every path was refused until after its deadline.
+// Ends the waiting requests for which no path may request a ticket before their
+// deadline.
 void caller_core::refuse_waiting(time_point now, caller_effects& effects)
 {
     const time_point earliest = m_paths.earliest_retry();
@@ -123,7 +124,8 @@
     attempt.answer.add(message.part, message.parts, message.body);
     if (attempt.answer.is_complete())
     {
-        // After a resend it is not known which send was answered.
+        // After a resend it is unknown which send was answered, so the response
+        // time is ambiguous.
         if (attempt.sends == 1)
         {
             m_response_time.observe(now - attempt.first_sent);
@@ -168,8 +170,8 @@
         return;
     }
     const time_point due = retry_time(now, request);
-    // An agent that leaves refuses each path once: a planned change costs no
-    // retry.
+    // A draining agent refuses each path once. This retry is exempt from the
+    // budget, so that a planned change does not use it up.
     const bool exempt = message.reason == answer_reason::draining;
     if (due >= request.deadline || !may_retry(request, message.reason) ||
         (!exempt && !m_budget.withdraw()))
@@ -230,7 +232,8 @@
     return m_settings.resend_after * (1U << doublings);
 }
 
-// The opening of a path went unanswered, or may be asked for again.
+// Called when an opening went unanswered, or when a path that was refused a
+// ticket may request one again.
 void caller_core::on_path_timeout(time_point now, path_index path,
                                   caller_effects& effects)
 {
@@ -238,7 +241,7 @@
     const bool has_waiting = !m_waiting.empty();
     if (target.openings_sent() % max_openings_per_path == 0)
     {
-        // Something on the way may have lost track of this flow.
+        // A device on the way may have lost the state of this flow.
         path = replace_path(path, effects);
         if (!has_waiting)
         {
@@ -270,8 +273,9 @@
     return fresh;
 }
 
-// The agent behind a path leaves: a new flow finds another one, at once unless
-// this was a new flow itself.
+// Replaces a path whose agent is draining by a new flow, which reaches another
+// agent. The new path is opened immediately, or after a timeout if the replaced
+// path was itself still waiting for a ticket.
 void caller_core::leave_draining(time_point now, path_index path,
                                  caller_effects& effects)
 {
@@ -305,7 +309,8 @@
     }
 }
 
-// Starts an exchange for a ticket that the request needs, unless one runs.
+// Starts an exchange for a ticket on a path that the request could use, unless
+// an exchange is already in progress.
 void caller_core::open_path_for(time_point now, const caller_request& request,
                                 caller_effects& effects)
 {
--- a/packages/requests/src/caller_request.hpp
+++ b/packages/requests/src/caller_request.hpp
@@ -12,18 +12,18 @@
 namespace crowlink::internal
 {
 
-// What is known of one attempt.
+// State of an attempt.
 enum class attempt_state : std::uint8_t
 {
-    // No final word on it: it may still run, and be answered.
+    // No final answer; the attempt may still run and be answered.
     outstanding,
-    // Proven not to have run, now and in the future.
+    // Proven not to have run; it will not run later either.
     not_run,
-    // Ended with no proof either way.
+    // Ended without proof of whether it ran.
     unknown,
 };
 
-// One attempt of a request: its right to run, and the answer as it arrives.
+// One attempt of a request, with the parts of its answer received so far.
 struct caller_attempt
 {
     path_index path = 0;
@@ -37,16 +37,16 @@
 
 enum class request_phase : std::uint8_t
 {
-    // Waits for a path with a ticket and room.
+    // Waits for a path with a usable ticket and room in its window.
     waiting,
     in_flight,
-    // Refused, and to be tried again.
+    // Refused; waits for the time of its retry.
     backing_off,
-    // Cancelled, and waits for the agent's word.
+    // Cancelled; waits for the agent's confirmation.
     cancelling,
 };
 
-// One request without an outcome.
+// A request without an outcome.
 struct caller_request
 {
     std::uint64_t number = 0;
@@ -54,17 +54,17 @@
     time_point deadline{};
     request_phase phase = request_phase::waiting;
     std::vector<caller_attempt> attempts;
-    // What the latest refusal said.
+    // Contents of the latest refusal.
     answer_reason reason = answer_reason::unreachable;
     duration retry_after{};
 };
 
-// The verdict on all attempts of a request that got no answer.
+// Returns the verdict on a request that got no answer, over all its attempts.
 verdict verdict_without_answer(const caller_request& request);
 
 bool has_outstanding(const caller_request& request);
 
-// The index of the latest attempt that is outstanding; there must be one.
+// Returns the index of the latest outstanding attempt; there must be one.
 std::size_t last_outstanding(const caller_request& request);
 
 } // namespace crowlink::internal
--- a/packages/requests/src/caller_send.cpp
+++ b/packages/requests/src/caller_send.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-// Sends of one attempt of an idempotent request before it goes elsewhere.
+// Sends of one attempt of an idempotent request before it tries another path.
 constexpr std::uint32_t max_idempotent_sends = 2;
-// Resends of one attempt are at most this many doublings apart.
+// Limit on the doublings of the resend timeout of an attempt.
 constexpr std::uint32_t max_doublings = 6;
 
 } // namespace
@@ -48,7 +48,8 @@
     }
     else if (assign_path(now, request, effects))
     {
-        // Load spreads over all paths, so each is opened before it is needed.
+        // Opens the other paths in advance, since load is spread over all
+        // paths.
         open_path_for(now, request, effects);
     }
     else
@@ -138,7 +139,7 @@
     resend(now, request, effects);
 }
 
-// Nothing was heard of the latest attempt for its resend time.
+// Called when the resend timeout of the latest outstanding attempt has expired.
 void caller_core::resend(time_point now, caller_request& request,
                          caller_effects& effects)
 {
--- a/packages/requests/src/job.hpp
+++ b/packages/requests/src/job.hpp
@@ -13,18 +13,18 @@
 namespace crowlink::internal
 {
 
-// The kind of a request whose kind is not, or no more, in the document.
+// Kind of a request whose kind is not in the service's document.
 constexpr kind_index no_kind = ~kind_index{0};
 
 enum class job_state : std::uint8_t
 {
-    // Not all of its parts are here.
+    // Some parts have not arrived yet.
     receiving,
     queued,
     running,
 };
 
-// One request from its first part until its answer.
+// A request from the arrival of its first part until its answer.
 struct job
 {
     std::uint64_t number = 0;
@@ -32,7 +32,7 @@
     std::uint64_t sequence = 0;
     request_id id;
     std::uint32_t attempt = 1;
-    // The flow that its latest part came on; answers go there.
+    // The flow of the latest message; answers are sent to it.
     flow_key flow;
     kind_index kind = no_kind;
     std::uint32_t weight = 1;
@@ -40,10 +40,10 @@
     job_state state = job_state::receiving;
     part_assembly assembly;
     std::string body;
-    // Its share of the limit on body bytes.
+    // Bytes counted towards the limit on body bytes.
     std::size_t charged_bytes = 0;
     time_point started{};
-    // Whether the upstream was asked to stop it.
+    // Whether the upstream was asked to stop the run.
     bool cancel_sent = false;
 };
 
--- a/packages/requests/src/message_conversion.hpp
+++ b/packages/requests/src/message_conversion.hpp
@@ -17,7 +17,7 @@
 
 namespace pb = wire::requests;
 
-// Conversions between our value types and the generated messages.
+// Conversions between the value types and the generated messages.
 std::uint64_t to_microseconds(duration value);
 duration from_microseconds(std::uint64_t value);
 void write(const request_id& from, pb::request_id& to);
@@ -29,7 +29,7 @@
 pb::verdict to_wire(verdict from);
 result<verdict> read_verdict(pb::verdict from, std::string_view where);
 
-// Parses one datagram as one message.
+// Parses a datagram as a single message.
 template <class Message>
 result<Message> parse(std::string_view datagram, std::string_view name)
 {
--- a/packages/requests/src/response_time_estimator.cpp
+++ b/packages/requests/src/response_time_estimator.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-// The weights of a new observation are one in these many.
+// Reciprocals of the weights of a new observation.
 constexpr int mean_smoothing = 8;
 constexpr int deviation_smoothing = 4;
 
--- a/packages/requests/src/response_time_estimator.hpp
+++ b/packages/requests/src/response_time_estimator.hpp
@@ -7,14 +7,15 @@
 namespace crowlink::internal
 {
 
-// How long to wait for an answer before a datagram is taken to be lost: the
-// smoothed answer time and four times its mean deviation (RFC 6298, section 2).
+// Estimates the time after which an unanswered datagram is considered lost: the
+// smoothed response time plus four times its mean deviation (RFC 6298,
+// section 2).
 class response_time_estimator
 {
 public:
     void observe(duration response_time);
 
-    // Zero until something was observed.
+    // Zero before the first observation.
     duration timeout() const { return m_mean + 4 * m_deviation; }
 
 private:
--- a/packages/requests/src/run_times.cpp
+++ b/packages/requests/src/run_times.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// The weight of a new observation is one in this many.
+// Reciprocal of the weight of a new observation.
 constexpr int smoothing = 8;
 
 } // namespace
--- a/packages/requests/src/session_table.cpp
+++ b/packages/requests/src/session_table.cpp
@@ -111,7 +111,7 @@
 {
     const auto& numbers = m_sessions.get<by_number>();
     const auto found = numbers.find(number);
-    // The members that are changed through this are no keys of the indices.
+    // Callers change only members that are not keys of the indices.
     return found == numbers.end() ? nullptr : const_cast<session*>(&*found);
 }
 
@@ -168,7 +168,8 @@
 
 void session_table::evict_answers()
 {
-    // The newest answer is kept whatever its size: it is just being sent.
+    // The newest answer is kept regardless of its size, because it is about to
+    // be sent.
     while (m_answer_bytes > m_limits.answer_bytes && m_answers.size() > 1)
     {
         const answer_location oldest = m_answers.begin()->second;
--- a/packages/requests/src/session_table.hpp
+++ b/packages/requests/src/session_table.hpp
@@ -13,18 +13,19 @@
 namespace crowlink::internal
 {
 
-// One session; its requests are sorted by sequence and few.
+// A session. Its requests are few and sorted by sequence.
 struct session
 {
     std::uint64_t number = 0;
     std::uint64_t secret = 0;
     time_point last_used{};
-    // Sequences below are settled.
+    // Sequences below this one are settled.
     std::uint64_t settled_below = 1;
     std::vector<remembered_request> requests;
 };
 
-// The sessions of one agent incarnation by number, by secret and by use.
+// The sessions of an agent incarnation, indexed by number, by secret and by
+// time of last use.
 class session_table
 {
 public:
@@ -59,7 +60,7 @@
                 boost::multi_index::tag<by_secret>, secret_member>,
             boost::multi_index::sequenced<boost::multi_index::tag<by_use>>>>;
 
-    // Where an answer with a body is remembered.
+    // Location of a stored answer that has a body.
     struct answer_location
     {
         std::uint64_t session = 0;
@@ -77,7 +78,7 @@
     memory_limits m_limits;
     sessions_type m_sessions;
     std::uint64_t m_last_number = 0;
-    // Answers with a body by age, oldest first.
+    // Stored answers that have a body, oldest first.
     std::map<std::uint64_t, answer_location> m_answers;
     std::uint64_t m_last_answer_number = 0;
     std::size_t m_answer_bytes = 0;
--- a/packages/requests/src/timer_queue.hpp
+++ b/packages/requests/src/timer_queue.hpp
@@ -10,7 +10,7 @@
 namespace crowlink::internal
 {
 
-// One due time for each of many numbered things.
+// Timers identified by number; each number has at most one due time.
 class timer_queue
 {
 public:
@@ -31,13 +31,13 @@
         }
     }
 
-    // The earliest due time, or time_point::max().
+    // Returns the earliest due time, or time_point::max() if there is none.
     time_point next_due() const
     {
         return m_order.empty() ? time_point::max() : m_order.begin()->due;
     }
 
-    // Takes the number that is due first, if any is due by now.
+    // Removes the earliest timer and returns its number, if it is due.
     std::optional<std::uint64_t> pop_due(time_point now)
     {
         if (m_order.empty() || m_order.begin()->due > now)
--- a/packages/requests/src/udp_request_client.cpp
+++ b/packages/requests/src/udp_request_client.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// Datagrams taken from one socket before the others have their turn.
+// Maximum datagrams received from a socket before the next socket is served.
 constexpr int receive_batch_size = 64;
 
 seeded_random seeded_by_system()
@@ -36,7 +36,7 @@
     {
     }
 
-    // The socket of a path; a new path has a new flow.
+    // Returns the socket of a path, which is opened on first use.
     result<internal::udp_socket*> socket_of(path_index path)
     {
         const auto known = m_sockets.find(path);
@@ -84,7 +84,8 @@
     std::size_t outstanding() const { return m_caller.outstanding(); }
 
 private:
-    // Waits for a datagram or for what is due; false once it is `until`.
+    // Waits for a datagram or the next timer. Returns false once `deadline` has
+    // passed.
     bool wait(time_point deadline)
     {
         const time_point now = m_clock.now();
@@ -130,8 +131,8 @@
     {
         for (const caller_datagram& datagram : m_effects.datagrams)
         {
-            // Without a socket the datagram is lost, and its path is replaced
-            // after a while like any other that does not answer.
+            // If no socket can be opened, the datagram is dropped, and the path
+            // is replaced after a timeout like any unanswered path.
             if (const auto socket = socket_of(datagram.path))
             {
                 (*socket)->send(datagram.bytes);
@@ -159,7 +160,7 @@
     if (services.empty() || settings.paths == 0)
     {
         return fail(error_kind::invalid, "services",
-                    "needs an address and a path");
+                    "requires at least one address and one path");
     }
     auto opened = std::make_unique<impl>(settings, services);
     for (path_index path = 0; path < settings.paths; ++path)
--- a/packages/requests/src/udp_socket.cpp
+++ b/packages/requests/src/udp_socket.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t max_datagram_size = 65536;
-// Where the IPv4 address lies in its IPv4-mapped form.
+// Offset of the IPv4 address in an IPv4-mapped IPv6 address.
 constexpr std::size_t v4_offset = 12;
 
 struct socket_address
--- a/packages/requests/src/udp_socket.hpp
+++ b/packages/requests/src/udp_socket.hpp
@@ -22,11 +22,11 @@
 
     int descriptor() const { return m_descriptor; }
 
-    // Sends one datagram; one that can't be sent now is lost, like any other
-    // that the network loses.
+    // Sends a datagram. If it cannot be sent now, it is dropped, as if lost in
+    // the network.
     void send(std::string_view datagram);
 
-    // The next datagram that is here, if any.
+    // Returns the next received datagram, if there is one.
     std::optional<std::string> receive();
 
 private:
--- a/packages/requests/src/upstream_messages.cpp
+++ b/packages/requests/src/upstream_messages.cpp
@@ -27,7 +27,8 @@
 {
     if (from.kind().size() > kind_name_limit || from.body().size() > body_limit)
     {
-        return fail(error_kind::invalid, "run", "is too long");
+        return fail(error_kind::invalid, "run",
+                    "has a kind or body that is too long");
     }
     return upstream_run{read(from.id()), std::move(*from.mutable_kind()),
                         from_microseconds(from.remaining()),
@@ -85,7 +86,8 @@
     }
     if (from->body().size() > body_limit)
     {
-        return fail(error_kind::invalid, "upstream_answer", "is too long");
+        return fail(error_kind::invalid, "upstream_answer",
+                    "has a body that is too long");
     }
     return upstream_answer{read(from->id()), *outcome,
                            from_microseconds(from->retry_after()),
