--- a/packages/requests/include/crowlink/requests/sequence_lookup.hpp
+++ b/packages/requests/include/crowlink/requests/sequence_lookup.hpp
@@ -26,7 +26,7 @@
 struct sequence_lookup
 {
     sequence_status kind = sequence_status::stale;
-    // Set for `fresh` and `known`; valid until the next change of the memory.
+    // Set for `fresh` and `known`; valid until the memory is next changed.
     remembered_request* request = nullptr;
 };
 
--- a/packages/requests/src/agent_messages.cpp
+++ b/packages/requests/src/agent_messages.cpp
@@ -56,8 +56,7 @@
     }
     if (from.reason() > static_cast<std::uint32_t>(last_answer_reason))
     {
-        return fail(error_kind::invalid, "answer.reason",
-                    "is no known reason");
+        return fail(error_kind::invalid, "answer.reason", "is no known reason");
     }
     if (from.parts() == 0 || from.parts() > part_limit ||
         from.part() >= from.parts())
--- a/packages/requests/test/at_most_once_test.cpp
+++ b/packages/requests/test/at_most_once_test.cpp
@@ -22,11 +22,11 @@
     return limits;
 }
 
-// A memory of request ids without any ticket, as the oldest servers keep.
-class ids_only
+// A bounded set of request ids without tickets, as in a simple duplicate cache.
+class bounded_id_set
 {
 public:
-    explicit ids_only(incarnation /*own*/) {}
+    explicit bounded_id_set(incarnation /*own*/) {}
 
     ticket open(time_point /*now*/, std::uint64_t secret)
     {
@@ -55,11 +55,12 @@
     std::vector<std::pair<std::uint64_t, std::uint64_t>> m_order;
 };
 
-// Tickets of an incarnation, but for sessions that the caller names.
-class caller_named_sessions
+// Tickets with an incarnation, but sessions identified by the secret of the
+// caller instead of a number that is never reused.
+class sessions_by_secret
 {
 public:
-    explicit caller_named_sessions(incarnation own) : m_own(own) {}
+    explicit sessions_by_secret(incarnation own) : m_own(own) {}
 
     ticket open(time_point /*now*/, std::uint64_t secret)
     {
@@ -89,7 +90,7 @@
     std::vector<std::uint64_t> m_order;
 };
 
-// The memory of the module.
+// The at_most_once memory.
 class session_tickets
 {
 public:
@@ -116,16 +117,17 @@
     at_most_once m_memory;
 };
 
-// How often one request ran in each history of the network.
-struct history_runs
+// How often a request ran in each scenario.
+struct scenario_runs
 {
     int duplicated = 0;
     int resent_to_another_agent = 0;
     int resent_after_restart = 0;
     int late_after_memory_pressure = 0;
 
-    friend bool operator==(const history_runs&, const history_runs&) = default;
-    friend std::ostream& operator<<(std::ostream& to, const history_runs& runs)
+    friend bool operator==(const scenario_runs&,
+                           const scenario_runs&) = default;
+    friend std::ostream& operator<<(std::ostream& to, const scenario_runs& runs)
     {
         return to << runs.duplicated << ' ' << runs.resent_to_another_agent
                   << ' ' << runs.resent_after_restart << ' '
@@ -134,7 +136,7 @@
 };
 
 template <class Memory>
-history_runs run_histories()
+scenario_runs run_scenarios()
 {
     const time_point now{};
     const auto runs =
@@ -143,7 +145,7 @@
         return int{first.runs(time_point{}, session_ticket, 1)} +
                int{second.runs(time_point{}, session_ticket, 1)};
     };
-    history_runs counted;
+    scenario_runs counted;
     Memory one{incarnation(1)};
     counted.duplicated = runs(one, one, one.open(now, caller_secret));
     Memory two{incarnation(2)};
@@ -156,36 +158,35 @@
     const ticket of_before = before.open(now, caller_secret);
     after.open(now, caller_secret);
     counted.resent_after_restart = runs(before, after, of_before);
-    // Other callers push the session out; then late copies of its opening and
-    // of its request arrive.
-    Memory pressed{incarnation(6)};
-    const ticket early = pressed.open(now, caller_secret);
-    counted.late_after_memory_pressure = int{pressed.runs(now, early, 1)};
+    // Sessions of other callers evict the session; then late duplicates of its
+    // opening and of its request arrive.
+    Memory full{incarnation(6)};
+    const ticket evicted = full.open(now, caller_secret);
+    counted.late_after_memory_pressure = int{full.runs(now, evicted, 1)};
     time_point later = now;
     for (std::uint64_t secret = 1000; secret < 1010; ++secret)
     {
         later += std::chrono::seconds(2);
-        pressed.runs(later, pressed.open(later, secret), 1);
+        full.runs(later, full.open(later, secret), 1);
     }
     later += std::chrono::seconds(2);
-    pressed.open(later, caller_secret);
-    counted.late_after_memory_pressure += int{pressed.runs(later, early, 1)};
+    full.open(later, caller_secret);
+    counted.late_after_memory_pressure += int{full.runs(later, evicted, 1)};
     return counted;
 }
 
-TEST(at_most_once, session_tickets_run_once_in_every_history)
+TEST(at_most_once, session_tickets_run_a_request_once_in_each_scenario)
 {
-    EXPECT_EQ(run_histories<session_tickets>(), (history_runs{1, 1, 1, 1}));
+    EXPECT_EQ(run_scenarios<session_tickets>(), (scenario_runs{1, 1, 1, 1}));
 }
 
-TEST(at_most_once, weaker_schemes_run_twice_in_the_histories_they_miss)
+TEST(at_most_once, weaker_schemes_run_a_request_twice_in_some_scenarios)
 {
-    EXPECT_EQ(run_histories<ids_only>(), (history_runs{1, 2, 2, 2}));
-    EXPECT_EQ(run_histories<caller_named_sessions>(),
-              (history_runs{1, 1, 1, 2}));
+    EXPECT_EQ(run_scenarios<bounded_id_set>(), (scenario_runs{1, 2, 2, 2}));
+    EXPECT_EQ(run_scenarios<sessions_by_secret>(), (scenario_runs{1, 1, 1, 2}));
 }
 
-TEST(at_most_once, a_settled_sequence_is_never_fresh_again)
+TEST(at_most_once, a_settled_sequence_is_not_accepted_again)
 {
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
@@ -204,16 +205,16 @@
               sequence_status::beyond_window);
 }
 
-TEST(at_most_once, a_ticket_is_honoured_only_with_its_secret)
+TEST(at_most_once, a_ticket_with_a_wrong_secret_is_stale)
 {
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
-    ticket guessed = *memory.open(now, caller_secret);
-    ++guessed.secret;
-    EXPECT_EQ(memory.sight(now, guessed, 1, 0).kind, sequence_status::stale);
+    ticket forged = *memory.open(now, caller_secret);
+    ++forged.secret;
+    EXPECT_EQ(memory.sight(now, forged, 1, 0).kind, sequence_status::stale);
 }
 
-TEST(at_most_once, answers_beyond_the_bound_are_forgotten_but_not_run_again)
+TEST(at_most_once, evicted_answers_are_reported_lost_and_not_run_again)
 {
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
@@ -231,19 +232,19 @@
     EXPECT_EQ(oldest.request->answer->outcome, verdict::may_have_run);
 }
 
-TEST(at_most_once, a_session_with_pending_work_or_in_use_is_not_forgotten)
+TEST(at_most_once, a_session_that_is_pending_or_recently_used_is_kept)
 {
     at_most_once memory(incarnation(1), small_memory());
     time_point now{};
-    const ticket busy = *memory.open(now, 1);
-    memory.sight(now, busy, 1, 0);
+    const ticket pending = *memory.open(now, 1);
+    memory.sight(now, pending, 1, 0);
     EXPECT_TRUE(memory.open(now, 2));
     EXPECT_FALSE(memory.open(now, 3));
     now += std::chrono::seconds(2);
     EXPECT_FALSE(memory.open(now, 3));
-    memory.finish(busy.session, 1, {});
+    memory.finish(pending.session, 1, {});
     EXPECT_TRUE(memory.open(now, 3));
-    EXPECT_EQ(memory.sight(now, busy, 1, 0).kind, sequence_status::stale);
+    EXPECT_EQ(memory.sight(now, pending, 1, 0).kind, sequence_status::stale);
     EXPECT_EQ(memory.sessions(), 2U);
 }
 
--- a/packages/requests/test/fake_upstream.hpp
+++ b/packages/requests/test/fake_upstream.hpp
@@ -2,7 +2,7 @@
 
 #include "crowlink/base/random.hpp"
 #include "crowlink/requests/message_codec.hpp"
-#include "naive_service.hpp"
+#include "reference_service.hpp"
 #include "run_record.hpp"
 
 #include <map>
@@ -13,8 +13,8 @@
 namespace crowlink::test
 {
 
-// An upstream that sheds, waits before it starts a run, runs slowly, honours
-// cancellation, and can die with all that it holds.
+// An upstream that sheds load, delays and prolongs runs, supports cancellation,
+// and can crash and lose all its runs.
 class fake_upstream
 {
 public:
@@ -23,7 +23,7 @@
     {
     }
 
-    // Takes a command; yields an answer if there is one at once.
+    // Handles a command. Returns an answer if there is an immediate one.
     std::optional<std::string> take(time_point now, const std::string& datagram,
                                     seeded_random& random)
     {
@@ -48,13 +48,13 @@
         return std::nullopt;
     }
 
-    // Starts and ends what is due; yields the answers.
+    // Starts and ends the runs that are due. Returns the answers.
     std::vector<std::string> advance(time_point now)
     {
         std::vector<std::string> answers;
         for (auto next = m_runs.begin(); next != m_runs.end();)
         {
-            held_run& run = next->second;
+            pending_run& run = next->second;
             if (!run.started && run.start <= now)
             {
                 run.started = true;
@@ -77,22 +77,22 @@
         time_point next = time_point::max();
         for (const auto& entry : m_runs)
         {
-            const held_run& run = entry.second;
+            const pending_run& run = entry.second;
             next = std::min(next, run.started ? run.end : run.start);
         }
         return next;
     }
 
-    void die()
+    void crash()
     {
         m_alive = false;
         m_runs.clear();
     }
 
-    void come_back() { m_alive = true; }
+    void restart() { m_alive = true; }
 
 private:
-    struct held_run
+    struct pending_run
     {
         upstream_run command;
         time_point start;
@@ -100,14 +100,14 @@
         bool started = false;
     };
 
-    // The naive service's answer with the run's own letter as filling, so that
-    // parts of two runs do not pass for one answer.
+    // Returns the answer of the reference service with a mark of the run as
+    // filler, so that mixing the parts of two runs is detected.
     std::string answer(const upstream_run& run)
     {
-        std::string body = naive_service::answer(run.kind, run.body);
-        ++m_last_letter;
-        std::replace(body.begin(), body.end(), naive_service::filling,
-                     static_cast<char>('A' + m_last_letter % 26));
+        std::string body = reference_service::answer(run.kind, run.body);
+        ++m_last_mark;
+        std::replace(body.begin(), body.end(), reference_service::filler,
+                     static_cast<char>('A' + m_last_mark % 26));
         return body;
     }
 
@@ -127,8 +127,8 @@
     run_record& m_record;
     double m_shed;
     bool m_alive = true;
-    int m_last_letter = 0;
-    std::map<run_id, held_run> m_runs;
+    int m_last_mark = 0;
+    std::map<run_id, pending_run> m_runs;
 };
 
 } // namespace crowlink::test
--- a/packages/requests/test/loopback_agent.hpp
+++ b/packages/requests/test/loopback_agent.hpp
@@ -3,7 +3,7 @@
 #include "crowlink/base/endpoint.hpp"
 #include "crowlink/requests/message_codec.hpp"
 #include "crowlink/requests/request_admission.hpp"
-#include "naive_service.hpp"
+#include "reference_service.hpp"
 
 #include <array>
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace crowlink::test
 {
 
-// An agent with an upstream that answers at once, on a loopback socket.
+// An agent on a loopback socket, with an upstream that answers immediately.
 class loopback_agent
 {
 public:
@@ -40,7 +40,7 @@
         return *endpoint::parse("127.0.0.1:" + std::to_string(m_port));
     }
 
-    // Takes and answers what has arrived.
+    // Handles and answers the datagrams received so far.
     void serve()
     {
         std::array<char, 2048> buffer;
@@ -71,9 +71,10 @@
         const std::vector<std::string> commands = m_effects.to_upstream;
         for (const std::string& command : commands)
         {
-            const auto taken = decode_upstream_command(command);
-            const auto& run = std::get<upstream_run>(*taken);
-            const std::string body = naive_service::answer(run.kind, run.body);
+            const auto decoded = decode_upstream_command(command);
+            const auto& run = std::get<upstream_run>(*decoded);
+            const std::string body =
+                reference_service::answer(run.kind, run.body);
             m_agent.handle_upstream(
                 now, encode(upstream_answer{run.id, verdict::ran, {}, body}),
                 m_effects);
--- a/packages/requests/test/message_codec_test.cpp
+++ b/packages/requests/test/message_codec_test.cpp
@@ -42,7 +42,7 @@
 const upstream_answer some_upstream_answer{
     {incarnation(3), 8}, verdict::ran, std::chrono::seconds(2), "answer"};
 
-// Changes, cuts or lengthens a datagram at random.
+// Randomly changes, truncates or extends a datagram.
 std::string damage(std::string bytes, seeded_random& random)
 {
     const int changes = 1 + static_cast<int>(random() % 4);
@@ -64,7 +64,7 @@
     return bytes;
 }
 
-// Messages, and whatever is taken of damaged ones, come through unchanged.
+// Checks that messages, and damaged ones that are still accepted, round-trip.
 template <class Message, class Decode>
 void check_damaged(const std::vector<Message>& corpus, Decode decode)
 {
@@ -73,22 +73,22 @@
         EXPECT_EQ(decode(encode(message)), message);
     }
     seeded_random random(fixed_seed);
-    int taken = 0;
+    int accepted = 0;
     for (int round = 0; round < rounds; ++round)
     {
         const Message& whole = corpus[random() % corpus.size()];
         const auto message = decode(damage(encode(whole), random));
         if (message)
         {
-            ++taken;
+            ++accepted;
             ASSERT_EQ(decode(encode(*message)), message);
         }
     }
-    EXPECT_GT(taken, 0);
-    EXPECT_LT(taken, rounds);
+    EXPECT_GT(accepted, 0);
+    EXPECT_LT(accepted, rounds);
 }
 
-TEST(message_codec, messages_come_through_unchanged_and_any_bytes_are_taken)
+TEST(message_codec, messages_round_trip_and_damaged_bytes_are_handled)
 {
     check_damaged(caller_messages, decode_caller_message);
     check_damaged(agent_messages, decode_agent_message);
@@ -97,7 +97,7 @@
                   decode_upstream_answer);
 }
 
-TEST(message_codec, refuses_what_breaks_a_rule)
+TEST(message_codec, rejects_invalid_fields)
 {
     const auto refused = [](request_part part)
     {
@@ -121,39 +121,40 @@
     EXPECT_FALSE(decode_caller_message(""));
 }
 
-TEST(message_codec, both_cores_survive_damaged_datagrams)
+TEST(message_codec, admission_and_caller_handle_damaged_datagrams)
 {
     seeded_random random(fixed_seed);
     admission_settings settings;
     settings.kinds = {{"hold", 1, false}};
     request_admission agent(settings, incarnation(3));
     request_caller caller({}, seeded_random(1));
-    caller_effects wanted;
-    admission_effects done;
+    caller_effects caller_output;
+    admission_effects agent_output;
     time_point now{};
     for (int round = 0; round < rounds; ++round)
     {
         now += std::chrono::microseconds(random() % 2000);
         caller.submit(now, {"hold", false, std::chrono::milliseconds(50), "b"},
-                      wanted);
-        caller.advance(now, wanted);
-        agent.advance(now, done);
-        for (const caller_datagram& sent : wanted.datagrams)
+                      caller_output);
+        caller.advance(now, caller_output);
+        agent.advance(now, agent_output);
+        for (const caller_datagram& sent : caller_output.datagrams)
         {
-            agent.handle_datagram(now, {}, sent.bytes, done);
-            agent.handle_datagram(now, {}, damage(sent.bytes, random), done);
+            agent.handle_datagram(now, {}, sent.bytes, agent_output);
+            agent.handle_datagram(now, {}, damage(sent.bytes, random),
+                                  agent_output);
         }
-        wanted = {};
-        for (const std::string& run : done.to_upstream)
+        caller_output = {};
+        for (const std::string& run : agent_output.to_upstream)
         {
-            agent.handle_upstream(now, damage(run, random), done);
+            agent.handle_upstream(now, damage(run, random), agent_output);
         }
-        for (const admission_datagram& sent : done.to_callers)
+        for (const admission_datagram& sent : agent_output.to_callers)
         {
-            caller.receive(now, 0, damage(sent.bytes, random), wanted);
-            caller.receive(now, 0, sent.bytes, wanted);
+            caller.receive(now, 0, damage(sent.bytes, random), caller_output);
+            caller.receive(now, 0, sent.bytes, caller_output);
         }
-        done = {};
+        agent_output = {};
     }
     EXPECT_GT(agent.counts().invalid, 0U);
     EXPECT_GT(caller.ignored(), 0U);
--- a/packages/requests/test/naive_service.hpp
+++ b/packages/requests/test/reference_service.hpp
@@ -6,13 +6,13 @@
 namespace crowlink::test
 {
 
-// A service in one process: each request runs at once, exactly once. What a
-// request is answered depends on its kind and body alone.
-class naive_service
+// Reference model of a service in one process that runs each request exactly
+// once. The answer depends only on the kind and the body.
+class reference_service
 {
 public:
-    // What long bodies are filled up with.
-    static constexpr char filling = 'x';
+    // The character that pads long bodies.
+    static constexpr char filler = 'x';
 
     static std::string answer(const std::string& kind, const std::string& body)
     {
--- a/packages/requests/test/request_admission_test.cpp
+++ b/packages/requests/test/request_admission_test.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// An agent with one slot, a caller's session and an upstream, all by hand.
+// An agent with one slot and one session; the test plays caller and upstream.
 class request_admission_test : public ::testing::Test
 {
 protected:
@@ -44,7 +44,7 @@
         m_agent.handle_datagram(m_now, {}, encode(message), m_effects);
     }
 
-    // Ends the run that was started last.
+    // Ends the most recently started run.
     void end_run(verdict outcome, duration after)
     {
         m_now += after;
@@ -72,7 +72,7 @@
     {
         if (m_effects.to_callers.empty())
         {
-            ADD_FAILURE() << "no answer";
+            ADD_FAILURE() << "no answer was sent to a caller";
             return {};
         }
         const auto message =
@@ -86,7 +86,7 @@
     time_point m_now{};
 };
 
-TEST_F(request_admission_test, a_resend_gets_the_first_answer_and_no_run)
+TEST_F(request_admission_test, a_resend_gets_the_stored_answer_without_a_run)
 {
     send(part(1));
     send(part(1));
@@ -98,7 +98,7 @@
     EXPECT_EQ(m_effects.to_upstream.size(), 1U);
 }
 
-TEST_F(request_admission_test, a_reused_sequence_gets_nobody_elses_answer)
+TEST_F(request_admission_test, a_reused_sequence_does_not_get_the_stored_answer)
 {
     send(part(1));
     end_run(verdict::ran, milliseconds(10));
@@ -111,7 +111,7 @@
     EXPECT_EQ(m_agent.counts().invalid, 2U);
 }
 
-TEST_F(request_admission_test, what_was_refused_does_not_run_later)
+TEST_F(request_admission_test, refused_or_cancelled_requests_do_not_run_later)
 {
     send(part(1, "hold", duration{}));
     EXPECT_EQ(last_answer().reason, answer_reason::expired);
@@ -124,7 +124,7 @@
     EXPECT_TRUE(m_effects.to_upstream.empty());
 }
 
-TEST_F(request_admission_test, a_ticket_of_another_incarnation_is_not_honoured)
+TEST_F(request_admission_test, a_ticket_of_another_incarnation_is_stale)
 {
     request_part other = part(1);
     other.session_ticket.issued_by = incarnation(2);
@@ -134,7 +134,7 @@
     EXPECT_TRUE(m_effects.to_upstream.empty());
 }
 
-TEST_F(request_admission_test, a_kind_is_not_taken_as_idempotent_unless_it_is)
+TEST_F(request_admission_test, a_wrong_idempotent_flag_or_kind_is_refused)
 {
     request_part claimed = part(1);
     claimed.idempotent = true;
@@ -144,7 +144,7 @@
     EXPECT_EQ(last_answer().reason, answer_reason::wrong_kind);
 }
 
-TEST_F(request_admission_test, a_full_queue_refuses_at_once_by_observed_times)
+TEST_F(request_admission_test, a_full_queue_refuses_with_the_observed_delay)
 {
     send(part(1));
     end_run(verdict::ran, milliseconds(100));
@@ -156,11 +156,11 @@
     send(part(7));
     EXPECT_EQ(last_answer().reason, answer_reason::overloaded);
     EXPECT_EQ(last_answer().outcome, verdict::not_run);
-    // Four wait, 100 ms each.
+    // Four requests of 100 ms are queued.
     EXPECT_EQ(last_answer().retry_after, milliseconds(400));
 }
 
-TEST_F(request_admission_test, a_wait_beyond_the_deadline_is_refused_at_once)
+TEST_F(request_admission_test, an_expected_wait_beyond_the_deadline_is_refused)
 {
     send(part(1));
     end_run(verdict::ran, milliseconds(100));
@@ -170,18 +170,18 @@
     EXPECT_EQ(m_agent.counts().queued, 0U);
 }
 
-TEST_F(request_admission_test, work_that_expired_in_the_queue_does_not_start)
+TEST_F(request_admission_test, a_request_that_expired_in_the_queue_is_not_run)
 {
     send(part(1));
     send(part(2, "hold", milliseconds(50)));
-    // The slot becomes free before anybody looked at the time.
+    // The slot becomes free before the timer of the deadline is handled.
     end_run(verdict::ran, milliseconds(50));
     EXPECT_EQ(last_answer().reason, answer_reason::expired);
     EXPECT_EQ(last_answer().outcome, verdict::not_run);
     EXPECT_EQ(m_effects.to_upstream.size(), 1U);
 }
 
-TEST_F(request_admission_test, queued_work_is_cancelled_and_running_is_stopped)
+TEST_F(request_admission_test, cancel_drops_queued_and_stops_running_requests)
 {
     send(part(1));
     send(part(2));
@@ -196,7 +196,7 @@
     EXPECT_EQ(last_answer().outcome, verdict::may_have_run);
 }
 
-TEST_F(request_admission_test, a_dead_upstream_ends_all_at_once)
+TEST_F(request_admission_test, a_lost_upstream_ends_all_requests_at_once)
 {
     send(part(1));
     send(part(2));
@@ -214,7 +214,7 @@
     EXPECT_EQ(m_agent.counts().running, 1U);
 }
 
-TEST_F(request_admission_test, an_answer_to_an_earlier_life_is_not_its_own)
+TEST_F(request_admission_test, an_answer_to_an_earlier_incarnation_is_ignored)
 {
     send(part(1));
     const upstream_answer old{
@@ -224,7 +224,7 @@
     EXPECT_TRUE(m_effects.to_callers.empty());
 }
 
-TEST_F(request_admission_test, a_leaving_agent_ends_its_work_and_takes_no_more)
+TEST_F(request_admission_test, a_draining_agent_finishes_its_work_only)
 {
     send(part(1));
     send(part(2));
@@ -239,7 +239,7 @@
     EXPECT_EQ(m_effects.to_upstream.size(), 2U);
 }
 
-TEST_F(request_admission_test, requests_that_wait_for_parts_are_bounded)
+TEST_F(request_admission_test, incomplete_requests_are_bounded)
 {
     admission_settings small = settings();
     small.body_bytes_limit = 1200;
@@ -256,7 +256,7 @@
     EXPECT_EQ(last_answer().outcome, verdict::not_run);
 }
 
-TEST_F(request_admission_test, a_silent_run_is_stopped_and_then_abandoned)
+TEST_F(request_admission_test, an_unanswered_run_is_stopped_then_abandoned)
 {
     send(part(1, "hold", milliseconds(100)));
     m_now += milliseconds(100);
@@ -277,13 +277,13 @@
         send(part(sequence, "read"));
     }
     send(part(6, "hold"));
-    // The newest of the surge made room, and the other kind runs next.
+    // The newest request of the surge is shed, and the other kind runs next.
     EXPECT_EQ(last_answer().id.number, 5U);
     end_run(verdict::ran, milliseconds(1));
     EXPECT_EQ(last_run().kind, "hold");
 }
 
-TEST_F(request_admission_test, a_kind_that_left_the_document_is_refused)
+TEST_F(request_admission_test, queued_requests_of_a_removed_kind_are_refused)
 {
     send(part(1, "hold"));
     send(part(2, "hold"));
--- a/packages/requests/test/request_caller_test.cpp
+++ b/packages/requests/test/request_caller_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t seed = 5;
 
-// A caller and what it wants, answered by hand.
+// A caller whose messages are answered by the test.
 class request_caller_test : public ::testing::Test
 {
 protected:
@@ -35,7 +35,7 @@
         return id;
     }
 
-    // Answers every opening that was sent.
+    // Answers all openings that were sent and records the other messages.
     void grant_tickets()
     {
         for (const caller_datagram& datagram : take_datagrams())
@@ -93,7 +93,7 @@
                 {},      part,         parts,        body};
     }
 
-    void wait(duration step)
+    void advance_by(duration step)
     {
         const time_point until = m_now + step;
         while (m_caller.next_wakeup() <= until)
@@ -119,7 +119,7 @@
     time_point m_now{};
 };
 
-TEST_F(request_caller_test, parts_out_of_order_and_twice_make_one_answer)
+TEST_F(request_caller_test, reordered_and_duplicate_parts_form_one_answer)
 {
     submit(true, milliseconds(100));
     const request_part& sent = m_sent.at(0);
@@ -133,7 +133,7 @@
     EXPECT_EQ(only_answer().outcome, verdict::ran);
 }
 
-TEST_F(request_caller_test, an_answer_to_another_attempt_or_path_is_ignored)
+TEST_F(request_caller_test, an_answer_to_another_attempt_or_caller_is_ignored)
 {
     submit(true, milliseconds(100));
     const request_part& sent = m_sent.at(0);
@@ -148,7 +148,7 @@
     EXPECT_EQ(m_caller.ignored(), 2U);
 }
 
-TEST_F(request_caller_test, a_refusal_until_after_the_deadline_ends_at_once)
+TEST_F(request_caller_test, a_retry_delay_beyond_the_deadline_ends_the_request)
 {
     submit(false, milliseconds(100));
     refuse(m_sent.at(0), verdict::not_run, answer_reason::overloaded,
@@ -158,14 +158,14 @@
     EXPECT_EQ(only_answer().retry_after, milliseconds(200));
 }
 
-TEST_F(request_caller_test, a_retry_waits_as_long_as_the_refusal_says)
+TEST_F(request_caller_test, a_retry_waits_for_the_delay_of_the_refusal)
 {
     submit(false, milliseconds(500));
     refuse(m_sent.at(0), verdict::not_run, answer_reason::overloaded,
            milliseconds(80));
-    wait(milliseconds(79));
+    advance_by(milliseconds(79));
     EXPECT_EQ(m_sent.size(), 1U);
-    wait(milliseconds(22));
+    advance_by(milliseconds(22));
     ASSERT_EQ(m_sent.size(), 2U);
     EXPECT_EQ(m_sent[1].attempt, 2U);
     EXPECT_NE(m_sent[1].sequence, m_sent[0].sequence);
@@ -173,7 +173,7 @@
     EXPECT_LT(m_sent[1].remaining, milliseconds(421));
 }
 
-TEST_F(request_caller_test, only_a_proven_not_run_is_tried_again)
+TEST_F(request_caller_test, a_request_that_may_have_run_is_not_retried)
 {
     submit(false, milliseconds(500));
     refuse(m_sent.at(0), verdict::may_have_run, answer_reason::stale_ticket);
@@ -181,63 +181,63 @@
     EXPECT_EQ(m_sent.size(), 1U);
 }
 
-TEST_F(request_caller_test, a_lost_request_is_sent_again_as_the_same_attempt)
+TEST_F(request_caller_test, a_lost_request_is_resent_as_the_same_attempt)
 {
     submit(false, milliseconds(500));
-    wait(milliseconds(50));
+    advance_by(milliseconds(50));
     ASSERT_EQ(m_sent.size(), 2U);
     request_part again = m_sent[0];
     again.remaining = milliseconds(450);
     EXPECT_EQ(m_sent[1], again);
 }
 
-TEST_F(request_caller_test, slow_answers_put_resends_off)
+TEST_F(request_caller_test, slow_answers_extend_the_resend_timeout)
 {
     submit(false, milliseconds(1000));
     m_now += milliseconds(40);
     receive(0, ran(m_sent[0], 0, 1, ""));
     submit(false, milliseconds(1000));
-    // 40 ms and four times half of that.
-    wait(milliseconds(119));
+    // 40 ms plus four times the initial deviation of 20 ms.
+    advance_by(milliseconds(119));
     EXPECT_EQ(m_sent.size(), 2U);
-    wait(milliseconds(1));
+    advance_by(milliseconds(1));
     EXPECT_EQ(m_sent.size(), 3U);
 }
 
-TEST_F(request_caller_test, an_answer_after_a_resend_tells_no_time)
+TEST_F(request_caller_test, an_answer_after_a_resend_is_not_timed)
 {
     submit(true, milliseconds(1000));
-    wait(milliseconds(60));
+    advance_by(milliseconds(60));
     receive(0, ran(m_sent[0], 0, 1, ""));
     submit(true, milliseconds(1000));
     ASSERT_EQ(m_sent.size(), 3U);
-    wait(milliseconds(50));
+    advance_by(milliseconds(50));
     EXPECT_EQ(m_sent.size(), 4U);
 }
 
-TEST_F(request_caller_test, a_late_refusal_is_not_taken_for_the_next_attempts)
+TEST_F(request_caller_test, a_late_refusal_does_not_affect_the_next_attempt)
 {
     submit(false, milliseconds(500));
     refuse(m_sent.at(0), verdict::not_run, answer_reason::overloaded);
-    wait(milliseconds(20));
+    advance_by(milliseconds(20));
     ASSERT_EQ(m_sent.size(), 2U);
     refuse(m_sent.at(0), verdict::not_run, answer_reason::wrong_kind);
     EXPECT_TRUE(m_effects.outcomes.empty());
     EXPECT_EQ(m_caller.ignored(), 1U);
 }
 
-TEST_F(request_caller_test, an_unanswered_request_ends_at_its_deadline)
+TEST_F(request_caller_test, an_unanswered_request_expires_at_its_deadline)
 {
     submit(false, milliseconds(100));
-    wait(milliseconds(99));
+    advance_by(milliseconds(99));
     EXPECT_TRUE(m_effects.outcomes.empty());
-    wait(milliseconds(1));
+    advance_by(milliseconds(1));
     EXPECT_EQ(only_answer().outcome, verdict::may_have_run);
     EXPECT_EQ(only_answer().reason, answer_reason::expired);
     EXPECT_EQ(m_cancels, 1);
 }
 
-TEST_F(request_caller_test, a_request_that_was_never_sent_did_not_run)
+TEST_F(request_caller_test, a_request_that_was_never_sent_is_not_run)
 {
     m_caller.submit(m_now, {"kind", false, milliseconds(100), ""}, m_effects);
     while (m_caller.next_wakeup() != time_point::max())
@@ -249,7 +249,7 @@
     EXPECT_EQ(only_answer().reason, answer_reason::unreachable);
 }
 
-TEST_F(request_caller_test, a_cancelled_request_waits_for_the_agents_proof)
+TEST_F(request_caller_test, a_cancelled_request_waits_for_confirmation)
 {
     const request_id id = submit(false, milliseconds(500));
     m_caller.cancel(m_now, id, m_effects);
@@ -261,7 +261,7 @@
     EXPECT_EQ(only_answer().reason, answer_reason::cancelled);
 }
 
-TEST_F(request_caller_test, an_old_ticket_is_confirmed_before_it_is_relied_on)
+TEST_F(request_caller_test, an_old_ticket_is_confirmed_before_use)
 {
     submit(false, milliseconds(100));
     refuse(m_sent.at(0), verdict::not_run, answer_reason::wrong_kind);
@@ -274,12 +274,12 @@
     EXPECT_EQ(m_sent.size(), 2U);
 }
 
-TEST_F(request_caller_test, a_path_never_uses_a_sequence_again)
+TEST_F(request_caller_test, a_path_never_reuses_a_sequence)
 {
     submit(false, milliseconds(100));
     refuse(m_sent.at(0), verdict::may_have_run, answer_reason::stale_ticket);
     const ticket first = m_sent[0].session_ticket;
-    // Other agents answer, and then the first one again, by the same ticket.
+    // Other agents answer, and then the first one again, with the same ticket.
     for (std::uint64_t agent = 5; agent < 8; ++agent)
     {
         m_now += std::chrono::seconds(10);
@@ -302,7 +302,7 @@
     }
 }
 
-TEST_F(request_caller_test, a_new_flow_takes_the_place_of_one_that_is_silent)
+TEST_F(request_caller_test, an_unresponsive_path_is_replaced_by_a_new_flow)
 {
     m_caller.submit(m_now, {"kind", false, milliseconds(900), ""}, m_effects);
     while (m_effects.closed.empty() &&
@@ -317,10 +317,10 @@
     EXPECT_EQ(m_sent.size(), 1U);
 }
 
-TEST_F(request_caller_test, an_unanswered_attempt_makes_the_path_be_confirmed)
+TEST_F(request_caller_test, a_path_is_confirmed_after_an_unanswered_attempt)
 {
     submit(true, milliseconds(900));
-    wait(milliseconds(50));
+    advance_by(milliseconds(50));
     EXPECT_EQ(m_sent.size(), 2U);
     m_caller.submit(m_now, {"kind", true, milliseconds(900), ""}, m_effects);
     ASSERT_EQ(m_effects.datagrams.size(), 1U);
@@ -328,14 +328,14 @@
     EXPECT_TRUE(std::holds_alternative<open_session>(*message));
 }
 
-TEST_F(request_caller_test, a_leaving_agent_costs_a_new_flow_and_no_retry)
+TEST_F(request_caller_test, retries_after_draining_are_exempt_from_the_budget)
 {
     for (std::size_t number = 1; number < 100; ++number)
     {
         submit(false, milliseconds(500));
         refuse(m_sent.back(), verdict::not_run, answer_reason::draining);
         EXPECT_EQ(m_effects.closed.size(), number);
-        wait(milliseconds(20));
+        advance_by(milliseconds(20));
         ASSERT_EQ(m_sent.size(), 2 * number);
         EXPECT_EQ(m_sent.back().session_ticket.issued_by,
                   incarnation(number + 1));
@@ -344,7 +344,7 @@
     EXPECT_EQ(m_effects.outcomes.size(), 99U);
 }
 
-TEST_F(request_caller_test, retries_stay_within_the_budget_when_all_fail)
+TEST_F(request_caller_test, retries_stay_within_the_budget_if_all_fail)
 {
     constexpr int fresh = 1000;
     for (int number = 0; number < fresh; ++number)
@@ -352,12 +352,12 @@
         submit(true, milliseconds(1000));
         refuse(m_sent.back(), verdict::not_run, answer_reason::overloaded,
                milliseconds(1));
-        wait(milliseconds(10));
+        advance_by(milliseconds(10));
         while (m_effects.outcomes.empty())
         {
             refuse(m_sent.back(), verdict::not_run, answer_reason::overloaded,
                    milliseconds(1));
-            wait(milliseconds(50));
+            advance_by(milliseconds(50));
         }
         m_effects.outcomes.clear();
     }
@@ -367,7 +367,7 @@
     EXPECT_GT(m_sent.size(), fresh);
 }
 
-TEST_F(request_caller_test, no_room_at_any_agent_is_told_at_once)
+TEST_F(request_caller_test, a_full_session_memory_ends_the_request_at_once)
 {
     m_caller.submit(m_now, {"kind", false, milliseconds(100), ""}, m_effects);
     const auto sent = decode_caller_message(take_datagrams().at(0).bytes);
--- a/packages/requests/test/history.hpp
+++ b/packages/requests/test/request_simulation.hpp
@@ -3,7 +3,7 @@
 #include "crowlink/requests/request_admission.hpp"
 #include "crowlink/requests/request_caller.hpp"
 #include "fake_upstream.hpp"
-#include "history_settings.hpp"
+#include "simulation_settings.hpp"
 
 #include <functional>
 #include <map>
@@ -13,14 +13,15 @@
 namespace crowlink::test
 {
 
-// One caller, several agents with an upstream each, and a network between
-// them that loses, repeats, delays and misleads, all from one seed.
-class history
+// Deterministic simulation, from one seed, of a caller, several agents with an
+// upstream each, and a network that loses, duplicates, delays and misroutes
+// datagrams.
+class request_simulation
 {
 public:
-    explicit history(const history_settings& settings);
+    explicit request_simulation(const simulation_settings& settings);
 
-    // Runs to the end; yields what went wrong, or an empty text.
+    // Runs to the end. Returns the first failed check, or an empty string.
     std::string run();
 
     int ran() const { return m_ran; }
@@ -38,37 +39,37 @@
 
     struct submitted
     {
-        outgoing_request wanted;
+        outgoing_request outgoing;
         time_point deadline;
         std::vector<request_outcome> outcomes;
         int sends = 0;
     };
 
-    static admission_settings admission(int sessions);
-    caller_settings calling() const;
+    static admission_settings admission_config(int sessions);
+    caller_settings caller_config() const;
     bool chance(int percent);
-    duration delay(int longest);
-    void at(time_point when, std::function<void()> what);
-    void plan();
+    duration delay(int max_delay);
+    void schedule(time_point when, std::function<void()> action);
+    void schedule_events();
     void submit(std::uint64_t number);
-    void fault();
+    void inject_fault();
     void restart(std::size_t index);
-    void kill_upstream(std::size_t index);
+    void crash_upstream(std::size_t index);
     void drain(std::size_t index);
     std::size_t owner_of(path_index path);
-    void note_answer(const std::string& bytes);
+    void record_answer(const std::string& bytes);
     void step();
     time_point next_time() const;
     void carry_out_caller();
     void carry_out_agent(std::size_t index);
     void deliver(path_index path, const std::string& bytes);
-    void note_send(const std::string& bytes);
-    void travel(const std::function<void()>& arrive);
-    void expect(bool holds, const std::string& what, std::uint64_t number);
+    void record_send(const std::string& bytes);
+    void transmit(const std::function<void()>& arrive);
+    void expect(bool holds, const std::string& failure, std::uint64_t number);
     void check();
-    void check_one(std::uint64_t number, const submitted& of);
+    void check_request(std::uint64_t number, const submitted& target);
 
-    history_settings m_settings;
+    simulation_settings m_settings;
     seeded_random m_random;
     time_point m_now{};
     std::uint64_t m_last_event = 0;
@@ -82,9 +83,10 @@
     caller_effects m_caller_effects;
     admission_effects m_agent_effects;
     std::map<std::uint64_t, submitted> m_submitted;
-    std::string m_wrong;
-    // Refusals of agents that leave, whose retries are free of the budget.
-    int m_drained = 0;
+    std::string m_failure;
+    // Number of refusals by draining agents; their retries are exempt from the
+    // budget.
+    int m_drain_refusals = 0;
     int m_ran = 0;
     int m_not_run = 0;
     int m_may_have_run = 0;
--- a/packages/requests/test/run_record.hpp
+++ b/packages/requests/test/run_record.hpp
@@ -7,7 +7,8 @@
 namespace crowlink::test
 {
 
-// What truly ran, over all upstreams, by the number that bodies start with.
+// Counts the actual runs over all upstreams, by the number at the start of the
+// body.
 class run_record
 {
 public:
--- a/packages/requests/test/udp_request_client_test.cpp
+++ b/packages/requests/test/udp_request_client_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-TEST(udp_request_client, gets_whole_answers_over_loopback)
+TEST(udp_request_client, receives_complete_answers_over_loopback)
 {
     admission_settings settings;
     settings.kinds = {{"hold", 1, false}, {"read", 1, true}};
@@ -32,13 +32,15 @@
     ASSERT_EQ(outcomes.size(), 2U);
     std::sort(outcomes.begin(), outcomes.end());
     EXPECT_EQ(outcomes[0].answer.outcome, verdict::ran);
-    EXPECT_EQ(outcomes[0].answer.body, naive_service::answer("hold", body));
-    EXPECT_EQ(outcomes[1].answer.body, naive_service::answer("read", "short"));
+    EXPECT_EQ(outcomes[0].answer.body, reference_service::answer("hold", body));
+    EXPECT_EQ(outcomes[1].answer.body,
+              reference_service::answer("read", "short"));
 }
 
-TEST(udp_request_client, with_nobody_there_a_request_did_not_run)
+TEST(udp_request_client,
+     a_request_to_a_silent_service_is_unreachable_and_not_run)
 {
-    // A port that nobody else can get while the agent holds it.
+    // The agent reserves its port but is never served.
     loopback_agent silent({});
     auto client = udp_request_client::open({}, {silent.address()});
     ASSERT_TRUE(client);
@@ -52,7 +54,7 @@
     EXPECT_EQ(outcomes[0].answer.reason, answer_reason::unreachable);
 }
 
-TEST(udp_request_client, needs_an_address)
+TEST(udp_request_client, open_fails_without_an_address)
 {
     EXPECT_FALSE(udp_request_client::open({}, {}));
 }
--- a/packages/requests/test/work_queue_test.cpp
+++ b/packages/requests/test/work_queue_test.cpp
@@ -33,7 +33,7 @@
         }
     }
 
-    // The started weight of each kind over so many starts.
+    // Starts `count` requests and returns the started weight of each kind.
     std::array<std::uint32_t, 2> start(int count)
     {
         std::array<std::uint32_t, 2> started = {};
@@ -49,14 +49,14 @@
     std::uint64_t m_last_job = 0;
 };
 
-TEST_F(work_queue_test, kinds_that_wait_get_equal_shares_of_the_weight)
+TEST_F(work_queue_test, waiting_kinds_get_equal_shares_of_started_weight)
 {
     push_many(light, 60);
     push_many(heavy, 20);
     EXPECT_EQ(start(40), (std::array<std::uint32_t, 2>{30, 30}));
 }
 
-TEST_F(work_queue_test, a_kind_saves_nothing_up_while_it_has_no_requests)
+TEST_F(work_queue_test, an_idle_kind_accumulates_no_credit)
 {
     push_many(light, 60);
     start(30);
@@ -64,14 +64,14 @@
     EXPECT_EQ(start(8), (std::array<std::uint32_t, 2>{6, 6}));
 }
 
-TEST_F(work_queue_test, within_a_kind_the_oldest_starts_first)
+TEST_F(work_queue_test, requests_of_a_kind_start_in_arrival_order)
 {
     push_many(light, 3);
     EXPECT_EQ(m_queue.pop()->job, 1U);
     EXPECT_EQ(m_queue.pop()->job, 2U);
 }
 
-TEST_F(work_queue_test, a_full_queue_sheds_the_newest_of_the_longest_kind)
+TEST_F(work_queue_test, a_full_queue_sheds_the_newest_of_the_heaviest_kind)
 {
     push_many(light, limit);
     const std::optional<queued_work> shed = push(heavy);
@@ -91,7 +91,7 @@
     EXPECT_FALSE(m_queue.pop());
 }
 
-TEST_F(work_queue_test, the_expected_wait_follows_what_was_observed)
+TEST_F(work_queue_test, the_expected_wait_follows_observed_run_times)
 {
     run_times times({weights.begin(), weights.end()}, milliseconds(10));
     EXPECT_EQ(times.expected(heavy), milliseconds(30));
@@ -101,7 +101,7 @@
     EXPECT_EQ(times.expected(heavy), milliseconds(90));
     push_many(light, 40);
     push_many(heavy, 2);
-    // Two of its own kind and as much time for the other, on four slots.
+    // Two requests of 90 ms, doubled for the other kind, over four slots.
     EXPECT_EQ(times.expected_wait(heavy, m_queue.queues(), 4),
               milliseconds(90));
     EXPECT_EQ(times.drain_time(m_queue.queues(), 4), milliseconds(145));
