--- a/packages/requests/include/crowlink/requests/request_cancel.hpp
+++ b/packages/requests/include/crowlink/requests/request_cancel.hpp
@@ -9,12 +9,12 @@
 namespace crowlink
 {
 
-// A caller's wish that one attempt not run, or stop if it runs.
+// Asks an agent not to run an attempt, or to stop it if it is running.
 struct request_cancel
 {
     request_id id;
     std::uint32_t attempt = 1;
-    ticket under;
+    ticket session_ticket;
     std::uint64_t sequence = 0;
 
     friend auto operator<=>(const request_cancel&,
--- a/packages/requests/src/caller_messages.cpp
+++ b/packages/requests/src/caller_messages.cpp
@@ -19,7 +19,7 @@
     pb::request_part& part = *to.mutable_request();
     write(from.id, *part.mutable_id());
     part.set_attempt(from.attempt);
-    write(from.under, *part.mutable_under());
+    write(from.session_ticket, *part.mutable_under());
     part.set_sequence(from.sequence);
     part.set_settled_below(from.settled_below);
     part.set_kind(from.kind);
@@ -35,7 +35,7 @@
     pb::request_cancel& cancel = *to.mutable_cancel();
     write(from.id, *cancel.mutable_id());
     cancel.set_attempt(from.attempt);
-    write(from.under, *cancel.mutable_under());
+    write(from.session_ticket, *cancel.mutable_under());
     cancel.set_sequence(from.sequence);
 }
 
@@ -49,21 +49,24 @@
     if (from.parts() == 0 || from.parts() > part_limit ||
         from.part() >= from.parts())
     {
-        return fail(error_kind::invalid, "request.part",
-                    "is outside of the parts");
+        return fail(
+            error_kind::invalid, "request.part",
+            "is not below the number of parts or exceeds the part limit");
     }
     if (from.body().size() > part_body_limit)
     {
-        return fail(error_kind::invalid, "request.body", "is too long");
+        return fail(error_kind::invalid, "request.body",
+                    "is too long for one part");
     }
     if (from.kind().size() > kind_name_limit)
     {
-        return fail(error_kind::invalid, "request.kind", "is too long");
+        return fail(error_kind::invalid, "request.kind",
+                    "is too long for the name of a kind");
     }
     request_part part;
     part.id = read(from.id());
     part.attempt = from.attempt();
-    part.under = read(from.under());
+    part.session_ticket = read(from.under());
     part.sequence = from.sequence();
     part.settled_below = from.settled_below();
     part.kind = std::move(*from.mutable_kind());
--- a/packages/requests/src/caller_request.hpp
+++ b/packages/requests/src/caller_request.hpp
@@ -12,59 +12,59 @@
 namespace crowlink::internal
 {
 
-// What is known of one attempt.
-enum class attempt_standing : std::uint8_t
+// State of an attempt.
+enum class attempt_state : std::uint8_t
 {
-    // No final word on it: it may still run, and be answered.
+    // No final answer; the attempt may still run and be answered.
     outstanding,
-    // Proven not to have run, now and in the future.
+    // Proven not to have run; it will not run later either.
     not_run,
-    // Ended with no proof either way.
+    // Ended without proof of whether it ran.
     unknown,
 };
 
-// One attempt of a request: its right to run, and the answer as it arrives.
+// One attempt of a request, with the parts of its answer received so far.
 struct caller_attempt
 {
     path_index path = 0;
-    ticket under;
+    ticket session_ticket;
     std::uint64_t sequence = 0;
     std::uint32_t sends = 0;
     time_point first_sent{};
-    attempt_standing standing = attempt_standing::outstanding;
+    attempt_state state = attempt_state::outstanding;
     part_assembly answer;
 };
 
 enum class request_phase : std::uint8_t
 {
-    // Waits for a path with a ticket and room.
+    // Waits for a path with a usable ticket and room in its window.
     waiting,
     in_flight,
-    // Refused, and to be tried again.
+    // Refused; waits for the time of its retry.
     backing_off,
-    // Cancelled, and waits for the agent's word.
+    // Cancelled; waits for the agent's confirmation.
     cancelling,
 };
 
-// One request without an outcome.
+// A request without an outcome.
 struct caller_request
 {
     std::uint64_t number = 0;
-    outgoing_request wanted;
+    outgoing_request outgoing;
     time_point deadline{};
     request_phase phase = request_phase::waiting;
     std::vector<caller_attempt> attempts;
-    // What the latest refusal said.
+    // Contents of the latest refusal.
     answer_reason reason = answer_reason::unreachable;
     duration retry_after{};
 };
 
-// The verdict on all attempts of a request that got no answer.
+// Returns the verdict on a request that got no answer, over all its attempts.
 verdict verdict_without_answer(const caller_request& request);
 
 bool has_outstanding(const caller_request& request);
 
-// The index of the latest attempt that is outstanding; there must be one.
+// Returns the index of the latest outstanding attempt; there must be one.
 std::size_t last_outstanding(const caller_request& request);
 
 } // namespace crowlink::internal
--- a/packages/requests/src/wakeups.hpp
+++ b/packages/requests/src/timer_queue.hpp
@@ -10,8 +10,8 @@
 namespace crowlink::internal
 {
 
-// One due time for each of many numbered things.
-class wakeups
+// Timers identified by number; each number has at most one due time.
+class timer_queue
 {
 public:
     void set(std::uint64_t number, time_point due)
@@ -31,14 +31,14 @@
         }
     }
 
-    // The earliest due time, or time_point::max().
-    time_point next() const
+    // Returns the earliest due time, or time_point::max() if there is none.
+    time_point next_due() const
     {
         return m_order.empty() ? time_point::max() : m_order.begin()->due;
     }
 
-    // Takes the number that is due first, if any is due by now.
-    std::optional<std::uint64_t> take(time_point now)
+    // Removes the earliest timer and returns its number, if it is due.
+    std::optional<std::uint64_t> pop_due(time_point now)
     {
         if (m_order.empty() || m_order.begin()->due > now)
         {
