--- a/packages/document/src/difference.cpp
+++ b/packages/document/src/difference.cpp
@@ -23,8 +23,7 @@
     return object;
 }
 
-// Converts a list of objects to an object keyed by the identifying
-// field.
+// Converts a list of objects to an object keyed by the identifying field.
 json objects_by_key(const json& list, const char* key_field)
 {
     auto object = json::object();
@@ -37,8 +36,8 @@
     return object;
 }
 
-// The document as JSON with each list converted to an object, so that
-// a JSON pointer refers to an element by its key.
+// The document as JSON with each list converted to an object, so that a JSON
+// pointer refers to an element by its key.
 json to_keyed_json(const system_document& document)
 {
     json value = internal::to_json(document);
--- a/packages/forwarding/src/view_merge.cpp
+++ b/packages/forwarding/src/view_merge.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// The number of departed records kept is that of the members, so that
-// late views are recognised after all members are replaced, but at least this
-// many, for small services.
+// As many departed records as members are kept, so that late views are
+// recognised after all members are replaced; small services keep at least this
+// many.
 constexpr std::size_t min_departed_records = 8;
 
 const upstream_record* find(const std::vector<upstream_record>& records,
@@ -33,9 +33,8 @@
     return is_found ? &*found : nullptr;
 }
 
-// The members of a view. Of two records of an upstream the newer one is
-// kept; a record older than the last one of a departed upstream is
-// ignored.
+// The members of a view. Of two records of an upstream the newer one is kept; a
+// record older than the last one of a departed upstream is ignored.
 std::vector<upstream_record> newest_members(const service_tables& stored,
                                             const service_view& view)
 {
--- a/packages/plan/src/capacity_plan.cpp
+++ b/packages/plan/src/capacity_plan.cpp
@@ -35,8 +35,8 @@
 constexpr double ticks_per_second = 10.0;
 // The maximum number of nodes attached to one observer.
 constexpr double sessions_per_observer = 4096.0;
-// Lower bound of the cores left for shared load. Keeps the number of
-// observers finite if the per-observer load alone exceeds the host's capacity.
+// Lower bound of the cores left for shared load. Keeps the number of observers
+// finite if the per-observer load alone exceeds the host's capacity.
 constexpr double min_available_cores = 0.01;
 
 double members_per_service(const deployment& sizes)
