--- a/bench/requests/cost.cpp
+++ b/bench/requests/cost.cpp
@@ -124,8 +124,8 @@
         const std::size_t opened = mallinfo2().uordblks;
         for (std::size_t index = 0; index < many_sessions; ++index)
         {
-            memory.sight(time_point(), {incarnation(1), index + 1, index}, 1,
-                         0);
+            memory.look_up(time_point(), {incarnation(1), index + 1, index}, 1,
+                           0);
             memory.finish(
                 index + 1, 1,
                 {verdict::not_run, answer_reason::overloaded, {}, {}});
--- a/packages/requests/include/crowlink/requests/at_most_once.hpp
+++ b/packages/requests/include/crowlink/requests/at_most_once.hpp
@@ -42,8 +42,9 @@
 
     // Looks up a sequence and stores it if it is new. Sequences below
     // `settled_below` are forgotten and are never accepted again.
-    sequence_lookup sight(time_point now, const ticket& session_ticket,
-                          std::uint64_t sequence, std::uint64_t settled_below);
+    sequence_lookup look_up(time_point now, const ticket& session_ticket,
+                            std::uint64_t sequence,
+                            std::uint64_t settled_below);
 
     // Stores the answer to a pending request. Returns the stored answer, or
     // null if the session or the sequence is no longer stored.
--- a/packages/requests/src/admission_receive.cpp
+++ b/packages/requests/src/admission_receive.cpp
@@ -56,8 +56,8 @@
                             const request_part& message)
 {
     const sequence_lookup lookup =
-        m_memory.sight(context.now, message.session_ticket, message.sequence,
-                       message.settled_below);
+        m_memory.look_up(context.now, message.session_ticket, message.sequence,
+                         message.settled_below);
     switch (lookup.kind)
     {
     case sequence_status::fresh:
@@ -97,7 +97,7 @@
 void admission_core::handle(const message_context& context,
                             const request_cancel& message)
 {
-    const sequence_lookup lookup = m_memory.sight(
+    const sequence_lookup lookup = m_memory.look_up(
         context.now, message.session_ticket, message.sequence, 0);
     if (lookup.kind == sequence_status::stale)
     {
--- a/packages/requests/src/at_most_once.cpp
+++ b/packages/requests/src/at_most_once.cpp
@@ -19,12 +19,12 @@
     return m_table->open(now, secret);
 }
 
-sequence_lookup at_most_once::sight(time_point now,
-                                    const ticket& session_ticket,
-                                    std::uint64_t sequence,
-                                    std::uint64_t settled_below)
+sequence_lookup at_most_once::look_up(time_point now,
+                                      const ticket& session_ticket,
+                                      std::uint64_t sequence,
+                                      std::uint64_t settled_below)
 {
-    return m_table->sight(now, session_ticket, sequence, settled_below);
+    return m_table->look_up(now, session_ticket, sequence, settled_below);
 }
 
 const request_answer* at_most_once::finish(std::uint64_t session,
--- a/packages/requests/src/session_table.cpp
+++ b/packages/requests/src/session_table.cpp
@@ -48,10 +48,10 @@
     return ticket{m_own, m_last_number, secret};
 }
 
-sequence_lookup session_table::sight(time_point now,
-                                     const ticket& session_ticket,
-                                     std::uint64_t sequence,
-                                     std::uint64_t settled_below)
+sequence_lookup session_table::look_up(time_point now,
+                                       const ticket& session_ticket,
+                                       std::uint64_t sequence,
+                                       std::uint64_t settled_below)
 {
     session* found = find(session_ticket.session);
     if (session_ticket.issued_by != m_own || found == nullptr ||
--- a/packages/requests/src/session_table.hpp
+++ b/packages/requests/src/session_table.hpp
@@ -35,8 +35,9 @@
     }
 
     std::optional<ticket> open(time_point now, std::uint64_t secret);
-    sequence_lookup sight(time_point now, const ticket& session_ticket,
-                          std::uint64_t sequence, std::uint64_t settled_below);
+    sequence_lookup look_up(time_point now, const ticket& session_ticket,
+                            std::uint64_t sequence,
+                            std::uint64_t settled_below);
     const request_answer* finish(std::uint64_t number, std::uint64_t sequence,
                                  request_answer answer);
 
--- a/packages/requests/test/at_most_once_test.cpp
+++ b/packages/requests/test/at_most_once_test.cpp
@@ -105,7 +105,7 @@
               std::uint64_t sequence)
     {
         const sequence_lookup seen =
-            m_memory.sight(now, session_ticket, sequence, 0);
+            m_memory.look_up(now, session_ticket, sequence, 0);
         if (seen.kind == sequence_status::fresh)
         {
             m_memory.finish(session_ticket.session, sequence, {});
@@ -191,17 +191,17 @@
     at_most_once memory(incarnation(1), small_memory());
     const time_point now{};
     const ticket session_ticket = *memory.open(now, caller_secret);
-    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 1, 0).kind,
               sequence_status::fresh);
-    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 1, 0).kind,
               sequence_status::known);
-    EXPECT_EQ(memory.sight(now, session_ticket, 3, 3).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 3, 3).kind,
               sequence_status::fresh);
-    EXPECT_EQ(memory.sight(now, session_ticket, 1, 0).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 1, 0).kind,
               sequence_status::settled);
-    EXPECT_EQ(memory.sight(now, session_ticket, 2, 0).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 2, 0).kind,
               sequence_status::settled);
-    EXPECT_EQ(memory.sight(now, session_ticket, 3 + sequence_window, 0).kind,
+    EXPECT_EQ(memory.look_up(now, session_ticket, 3 + sequence_window, 0).kind,
               sequence_status::beyond_window);
 }
 
@@ -211,7 +211,7 @@
     const time_point now{};
     ticket forged = *memory.open(now, caller_secret);
     ++forged.secret;
-    EXPECT_EQ(memory.sight(now, forged, 1, 0).kind, sequence_status::stale);
+    EXPECT_EQ(memory.look_up(now, forged, 1, 0).kind, sequence_status::stale);
 }
 
 TEST(at_most_once, evicted_answers_are_reported_lost_and_not_run_again)
@@ -221,12 +221,12 @@
     const ticket session_ticket = *memory.open(now, caller_secret);
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence)
     {
-        memory.sight(now, session_ticket, sequence, 0);
+        memory.look_up(now, session_ticket, sequence, 0);
         memory.finish(session_ticket.session, sequence,
                       {verdict::ran, answer_reason::answered, {}, "123456"});
     }
     EXPECT_EQ(memory.answer_bytes(), 6U);
-    const sequence_lookup oldest = memory.sight(now, session_ticket, 1, 0);
+    const sequence_lookup oldest = memory.look_up(now, session_ticket, 1, 0);
     ASSERT_EQ(oldest.kind, sequence_status::known);
     EXPECT_EQ(oldest.request->answer->reason, answer_reason::answer_lost);
     EXPECT_EQ(oldest.request->answer->outcome, verdict::may_have_run);
@@ -237,14 +237,14 @@
     at_most_once memory(incarnation(1), small_memory());
     time_point now{};
     const ticket pending = *memory.open(now, 1);
-    memory.sight(now, pending, 1, 0);
+    memory.look_up(now, pending, 1, 0);
     EXPECT_TRUE(memory.open(now, 2));
     EXPECT_FALSE(memory.open(now, 3));
     now += std::chrono::seconds(2);
     EXPECT_FALSE(memory.open(now, 3));
     memory.finish(pending.session, 1, {});
     EXPECT_TRUE(memory.open(now, 3));
-    EXPECT_EQ(memory.sight(now, pending, 1, 0).kind, sequence_status::stale);
+    EXPECT_EQ(memory.look_up(now, pending, 1, 0).kind, sequence_status::stale);
     EXPECT_EQ(memory.sessions(), 2U);
 }
 
