--- a/bench/requests/queue_orders.hpp
+++ b/bench/requests/queue_orders.hpp
@@ -14,8 +14,8 @@
 public:
     explicit arrival_order(std::size_t /*kinds*/) {}
 
-    void pushed(const queued_work& /*work*/, const kind_queues& /*queues*/) {}
-    void taken(const queued_work& /*work*/) {}
+    void on_push(const queued_work& /*work*/, const kind_queues& /*queues*/) {}
+    void on_pop(const queued_work& /*work*/) {}
 
     kind_index next(const kind_queues& queues) const
     {
@@ -33,8 +33,8 @@
         return best;
     }
 
-    kind_index shed_from(const queued_work& arriving,
-                         const kind_queues& /*queues*/) const
+    kind_index kind_to_shed(const queued_work& arriving,
+                            const kind_queues& /*queues*/) const
     {
         return arriving.kind;
     }
@@ -48,7 +48,7 @@
 public:
     explicit campaign_order(std::size_t kinds) : m_finish(kinds) {}
 
-    void pushed(const queued_work& work, const kind_queues& queues)
+    void on_push(const queued_work& work, const kind_queues& queues)
     {
         if (queues[work.kind].waiting.empty())
         {
@@ -59,7 +59,7 @@
 
     // The whole system serves `weight`; each active campaign advances by its
     // share of that in virtual time.
-    void taken(const queued_work& work)
+    void on_pop(const queued_work& work)
     {
         const double active = std::max(1.0, m_active);
         m_virtual_time += work.weight / active;
@@ -86,8 +86,8 @@
         return best;
     }
 
-    kind_index shed_from(const queued_work& arriving,
-                         const kind_queues& queues) const
+    kind_index kind_to_shed(const queued_work& arriving,
+                            const kind_queues& queues) const
     {
         kind_index most = arriving.kind;
         for (kind_index kind = 0; kind < queues.size(); ++kind)
--- a/packages/requests/include/crowlink/requests/fair_order.hpp
+++ b/packages/requests/include/crowlink/requests/fair_order.hpp
@@ -13,11 +13,11 @@
 public:
     explicit fair_order(std::size_t kinds) : m_starts(kinds) {}
 
-    void pushed(const queued_work& work, const kind_queues& queues);
-    void taken(const queued_work& work);
+    void on_push(const queued_work& work, const kind_queues& queues);
+    void on_pop(const queued_work& work);
     kind_index next(const kind_queues& queues) const;
-    kind_index shed_from(const queued_work& arriving,
-                         const kind_queues& queues) const;
+    kind_index kind_to_shed(const queued_work& arriving,
+                            const kind_queues& queues) const;
 
 private:
     // Virtual start time of the oldest request of each kind.
--- a/packages/requests/include/crowlink/requests/work_queue.hpp
+++ b/packages/requests/include/crowlink/requests/work_queue.hpp
@@ -26,14 +26,14 @@
         std::optional<queued_work> shed;
         if (m_size >= m_limit)
         {
-            const kind_index from = m_order.shed_from(work, m_queues);
+            const kind_index from = m_order.kind_to_shed(work, m_queues);
             if (from == work.kind || m_queues[from].waiting.empty())
             {
                 return work;
             }
             shed = drop_newest(from);
         }
-        m_order.pushed(work, m_queues);
+        m_order.on_push(work, m_queues);
         m_queues[work.kind].waiting.push_back(work);
         m_queues[work.kind].weight += work.weight;
         ++m_size;
@@ -49,7 +49,7 @@
         }
         kind_queue& queue = m_queues[m_order.next(m_queues)];
         const queued_work work = queue.waiting.front();
-        m_order.taken(work);
+        m_order.on_pop(work);
         queue.waiting.pop_front();
         queue.weight -= work.weight;
         --m_size;
--- a/packages/requests/src/fair_order.cpp
+++ b/packages/requests/src/fair_order.cpp
@@ -5,7 +5,7 @@
 namespace crowlink
 {
 
-void fair_order::pushed(const queued_work& work, const kind_queues& queues)
+void fair_order::on_push(const queued_work& work, const kind_queues& queues)
 {
     if (queues[work.kind].waiting.empty())
     {
@@ -13,7 +13,7 @@
     }
 }
 
-void fair_order::taken(const queued_work& work)
+void fair_order::on_pop(const queued_work& work)
 {
     m_virtual_time = m_starts[work.kind];
     m_starts[work.kind] += work.weight;
@@ -38,8 +38,8 @@
     return best;
 }
 
-kind_index fair_order::shed_from(const queued_work& arriving,
-                                 const kind_queues& queues) const
+kind_index fair_order::kind_to_shed(const queued_work& arriving,
+                                    const kind_queues& queues) const
 {
     kind_index most = arriving.kind;
     std::uint64_t weight = queues[most].weight + arriving.weight;
