--- a/packages/daemon/src/control/document_controller.cpp
+++ b/packages/daemon/src/control/document_controller.cpp
@@ -66,7 +66,7 @@
     if (settings.control->losses_borne)
     {
         replication::voter_policy_settings policy;
-        policy.losses = *settings.control->losses_borne;
+        policy.tolerated_failures = *settings.control->losses_borne;
         m_voters.emplace(policy);
     }
 }
@@ -147,7 +147,7 @@
     const std::vector<host_id>& seeds = board.seeds.get();
     std::set<host_id> all(members.begin(), members.end());
     all.insert(seeds.begin(), seeds.end());
-    for (const replication::stranger_status& one : status.strangers)
+    for (const replication::non_member_status& one : status.non_members)
     {
         all.insert(one.host);
     }
--- a/packages/replication/include/crowlink/replication/replica_status.hpp
+++ b/packages/replication/include/crowlink/replication/replica_status.hpp
@@ -28,15 +28,15 @@
 };
 
 // A host that said hello and is no member with the disk that it has now.
-struct stranger_status
+struct non_member_status
 {
     host_id host;
     disk_id disk;
     bool blank = false;
     duration age{};
 
-    friend auto operator<=>(const stranger_status&,
-                            const stranger_status&) = default;
+    friend auto operator<=>(const non_member_status&,
+                            const non_member_status&) = default;
 };
 
 // What a replica tells operators about itself.
@@ -60,7 +60,7 @@
     duration led_for{};
     // Match indexes and ages are known on the leader only.
     std::vector<member_status> members;
-    std::vector<stranger_status> strangers;
+    std::vector<non_member_status> non_members;
     // Empty while storage works.
     std::string storage_error;
 
--- a/packages/replication/include/crowlink/replication/voter_policy.hpp
+++ b/packages/replication/include/crowlink/replication/voter_policy.hpp
@@ -15,7 +15,7 @@
 struct voter_policy_settings
 {
     // Voters that may be lost at the same time while the log goes on.
-    std::size_t losses = 1;
+    std::size_t tolerated_failures = 1;
     // A voter that has not answered the leader for so long may be replaced. It
     // exceeds a restart of a process, which takes about two seconds, and the
     // pauses of slow disks that are borne without an election.
@@ -61,7 +61,7 @@
     std::size_t wanted() const;
     bool is_lost(const replica_status& status,
                  const member_status& member) const;
-    bool is_there(const stranger_status& stranger) const;
+    bool is_there(const non_member_status& non_member) const;
 
     std::optional<member_change> readmit(const replica_status& status) const;
     std::optional<member_change> add(const replica_status& status) const;
--- a/packages/replication/src/replica_core.cpp
+++ b/packages/replication/src/replica_core.cpp
@@ -276,7 +276,7 @@
     if (entry.kind == entry_kind::membership)
     {
         m_memberships.append(entry.index, decode_membership(entry.payload));
-        forget_strangers();
+        remove_admitted_hosts();
     }
     m_log.append(std::move(entry));
 }
@@ -360,12 +360,12 @@
         }
         out.members.push_back(shown);
     }
-    for (const auto& [host, seen] : m_strangers)
+    for (const auto& [host, seen] : m_non_members)
     {
         if (!members().contains(host, seen.disk))
         {
-            out.strangers.push_back(
-                stranger_status{host, seen.disk, seen.blank, now - seen.seen});
+            out.non_members.push_back(non_member_status{
+                host, seen.disk, seen.blank, now - seen.seen});
         }
     }
     return out;
--- a/packages/replication/src/replica_core.hpp
+++ b/packages/replication/src/replica_core.hpp
@@ -42,7 +42,7 @@
 
 private:
     // A host that said hello.
-    struct stranger
+    struct non_member
     {
         disk_id disk;
         bool blank = false;
@@ -148,7 +148,7 @@
     void introduce_itself();
     void found();
     void admit_observer();
-    void forget_strangers();
+    void remove_admitted_hosts();
     result<membership> changed_members(const member_change& change) const;
     result<disk_id> admitted_disk(const member_change& change) const;
     std::optional<error> unsafe(const membership& changed) const;
@@ -202,7 +202,7 @@
 
     std::optional<open_question> m_question;
 
-    std::map<host_id, stranger> m_strangers;
+    std::map<host_id, non_member> m_non_members;
     std::optional<time_point> m_hello_sent;
     std::vector<replica_effect> m_effects;
 };
--- a/packages/replication/src/replica_follow.cpp
+++ b/packages/replication/src/replica_follow.cpp
@@ -205,7 +205,7 @@
         snapshot{body.index, body.term, body.members, m_state.cluster, data};
     m_log.reset(body.index, body.term);
     m_memberships.reset(body.index, body.members);
-    forget_strangers();
+    remove_admitted_hosts();
     m_queue.add_snapshot(*m_snapshot, true);
     m_applied_bytes = 0;
     m_snapshot_asked = false;
--- a/packages/replication/src/replica_members.cpp
+++ b/packages/replication/src/replica_members.cpp
@@ -14,7 +14,7 @@
 constexpr duration hello_interval = std::chrono::seconds(1);
 // A hello that is older says nothing about the host's present disk.
 constexpr duration hello_lifetime = std::chrono::seconds(10);
-constexpr std::size_t max_strangers = 64;
+constexpr std::size_t max_non_members = 64;
 constexpr std::size_t max_members = 32;
 // Five, and one more while a host is replaced.
 constexpr std::size_t max_voters = 6;
@@ -24,16 +24,17 @@
 
 void replica_core::on(const replica_message& message, const hello& body)
 {
-    m_strangers[message.from] = stranger{message.from_disk, body.blank, m_now};
-    if (m_strangers.size() <= max_strangers)
+    m_non_members[message.from] =
+        non_member{message.from_disk, body.blank, m_now};
+    if (m_non_members.size() <= max_non_members)
     {
         return;
     }
     const auto oldest =
-        std::min_element(m_strangers.begin(), m_strangers.end(),
+        std::min_element(m_non_members.begin(), m_non_members.end(),
                          [](const auto& one, const auto& other)
                          { return one.second.seen < other.second.seen; });
-    m_strangers.erase(oldest);
+    m_non_members.erase(oldest);
 }
 
 // Changes are passed on by replicated_document; the log itself ignores them.
@@ -93,8 +94,8 @@
         }
         // Every founder must be there with an empty disk: one that remembers
         // anything shows that the log was founded before.
-        const auto seen = m_strangers.find(host);
-        if (seen == m_strangers.end() || !seen->second.blank ||
+        const auto seen = m_non_members.find(host);
+        if (seen == m_non_members.end() || !seen->second.blank ||
             m_now - seen->second.seen > hello_lifetime)
         {
             return;
@@ -118,8 +119,8 @@
     }
     for (const host_id& host : m_settings.peers)
     {
-        const auto seen = m_strangers.find(host);
-        const bool waits = seen != m_strangers.end() && seen->second.blank &&
+        const auto seen = m_non_members.find(host);
+        const bool waits = seen != m_non_members.end() && seen->second.blank &&
                            m_now - seen->second.seen <= hello_lifetime &&
                            members().find(host) == nullptr;
         if (waits && members().members().size() < max_members)
@@ -132,14 +133,14 @@
 }
 
 // Otherwise a host that is removed soon after would be taken for a new one.
-void replica_core::forget_strangers()
+void replica_core::remove_admitted_hosts()
 {
     for (const member& one : members().members())
     {
-        const auto seen = m_strangers.find(one.host);
-        if (seen != m_strangers.end() && seen->second.disk == one.disk)
+        const auto seen = m_non_members.find(one.host);
+        if (seen != m_non_members.end() && seen->second.disk == one.disk)
         {
-            m_strangers.erase(seen);
+            m_non_members.erase(seen);
         }
     }
 }
@@ -212,9 +213,9 @@
 result<disk_id> replica_core::admitted_disk(const member_change& change) const
 {
     const member* present = members().find(change.host);
-    const auto seen = m_strangers.find(change.host);
+    const auto seen = m_non_members.find(change.host);
     disk_id disk = change.disk;
-    if (disk.value() == 0 && seen != m_strangers.end())
+    if (disk.value() == 0 && seen != m_non_members.end())
     {
         disk = seen->second.disk;
     }
--- a/packages/replication/src/voter_policy.cpp
+++ b/packages/replication/src/voter_policy.cpp
@@ -62,7 +62,7 @@
 
 std::size_t voter_policy::wanted() const
 {
-    return std::min(most_voters, 2 * m_settings.losses + 1);
+    return std::min(most_voters, 2 * m_settings.tolerated_failures + 1);
 }
 
 // A new leader has heard of nobody yet.
@@ -72,25 +72,25 @@
     return member.age.value_or(status.led_for) > m_settings.lost_after;
 }
 
-bool voter_policy::is_there(const stranger_status& stranger) const
+bool voter_policy::is_there(const non_member_status& non_member) const
 {
-    return stranger.age <= m_settings.heard_within;
+    return non_member.age <= m_settings.heard_within;
 }
 
 std::optional<member_change>
 voter_policy::readmit(const replica_status& status) const
 {
-    for (const stranger_status& stranger : status.strangers)
+    for (const non_member_status& non_member : status.non_members)
     {
-        const member_status* before = find(status, stranger.host);
-        if (before == nullptr || !is_there(stranger))
+        const member_status* before = find(status, non_member.host);
+        if (before == nullptr || !is_there(non_member))
         {
             continue;
         }
         const auto kind = counts(before->who)
                               ? member_change_kind::add_voter
                               : member_change_kind::add_observer;
-        return member_change{kind, stranger.host, stranger.disk};
+        return member_change{kind, non_member.host, non_member.disk};
     }
     return std::nullopt;
 }
@@ -117,12 +117,12 @@
                                  one.who.disk};
         }
     }
-    for (const stranger_status& stranger : status.strangers)
+    for (const non_member_status& non_member : status.non_members)
     {
-        if (is_there(stranger))
+        if (is_there(non_member))
         {
-            return member_change{member_change_kind::add_voter, stranger.host,
-                                 stranger.disk};
+            return member_change{member_change_kind::add_voter, non_member.host,
+                                 non_member.disk};
         }
     }
     return std::nullopt;
@@ -159,12 +159,12 @@
 std::optional<member_change>
 voter_policy::admit(const replica_status& status) const
 {
-    for (const stranger_status& stranger : status.strangers)
+    for (const non_member_status& non_member : status.non_members)
     {
-        if (is_there(stranger))
+        if (is_there(non_member))
         {
             return member_change{member_change_kind::add_observer,
-                                 stranger.host, stranger.disk};
+                                 non_member.host, non_member.disk};
         }
     }
     return std::nullopt;
--- a/packages/replication/test/unattended_test.cpp
+++ b/packages/replication/test/unattended_test.cpp
@@ -19,11 +19,11 @@
 // The time in which a host that is back must bear the next loss.
 constexpr std::size_t repair_steps = steps_of(4);
 
-cluster_rules unattended(std::size_t losses = 1)
+cluster_rules unattended(std::size_t tolerated_failures = 1)
 {
     cluster_rules rules;
     rules.voters.emplace();
-    rules.voters->losses = losses;
+    rules.voters->tolerated_failures = tolerated_failures;
     return rules;
 }
 
@@ -45,7 +45,7 @@
         found += votes && answers ? 1 : 0;
         lost += votes && !answers ? 1 : 0;
     }
-    return found == voters && lost == 0 && status.strangers.empty() &&
+    return found == voters && lost == 0 && status.non_members.empty() &&
            status.commit == status.last_index;
 }
 
@@ -181,10 +181,10 @@
     const auto is_known = [&]
     {
         const auto leader = cluster.leader();
-        const auto strangers = cluster.status(3).strangers;
+        const auto non_members = cluster.status(3).non_members;
         return leader &&
-               std::any_of(strangers.begin(), strangers.end(),
-                           [&](const stranger_status& one)
+               std::any_of(non_members.begin(), non_members.end(),
+                           [&](const non_member_status& one)
                            { return one.host == fake_cluster::name(*leader); });
     };
     EXPECT_TRUE(cluster.run_until(is_known, steps_of(2)));
--- a/packages/replication/test/voter_policy_test.cpp
+++ b/packages/replication/test/voter_policy_test.cpp
@@ -25,28 +25,28 @@
     return member_of(host, disk, member_role::voter, age);
 }
 
-stranger_status stranger(const char* host, std::uint64_t disk,
-                         duration age = just_heard)
+non_member_status non_member(const char* host, std::uint64_t disk,
+                             duration age = just_heard)
 {
-    return stranger_status{host_id(host), disk_id(disk), true, age};
+    return non_member_status{host_id(host), disk_id(disk), true, age};
 }
 
 replica_status leader_of(std::vector<member_status> members,
-                         std::vector<stranger_status> strangers = {})
+                         std::vector<non_member_status> non_members = {})
 {
     replica_status status;
     status.role = replica_role::leader;
     status.led_for = long_silent;
     status.members = std::move(members);
-    status.strangers = std::move(strangers);
+    status.non_members = std::move(non_members);
     return status;
 }
 
 std::optional<member_change> decide(const replica_status& status,
-                                    std::size_t losses = 1)
+                                    std::size_t tolerated_failures = 1)
 {
     voter_policy_settings settings;
-    settings.losses = losses;
+    settings.tolerated_failures = tolerated_failures;
     return voter_policy(settings).decide(status);
 }
 
@@ -64,7 +64,7 @@
 
 TEST(voter_policy, only_the_leader_decides)
 {
-    replica_status status = leader_of({voter("a", 1)}, {stranger("b", 2)});
+    replica_status status = leader_of({voter("a", 1)}, {non_member("b", 2)});
     status.role = replica_role::follower;
     EXPECT_FALSE(decide(status));
 }
@@ -73,7 +73,7 @@
 {
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3, long_silent)},
-                  {stranger("c", 9)});
+                  {non_member("c", 9)});
     EXPECT_EQ(decide(status), change(member_change_kind::add_voter, "c", 9));
 }
 
@@ -82,7 +82,7 @@
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3),
                    member_of("d", 4, member_role::observer, long_silent)},
-                  {stranger("d", 9)});
+                  {non_member("d", 9)});
     EXPECT_EQ(decide(status), change(member_change_kind::add_observer, "d", 9));
 }
 
@@ -90,7 +90,7 @@
 {
     const auto before =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3, long_silent)},
-                  {stranger("d", 4)});
+                  {non_member("d", 4)});
     EXPECT_EQ(decide(before), change(member_change_kind::add_voter, "d", 4));
     // First the new one, then the lost one goes: never fewer that answer.
     const auto after = leader_of({voter("a", 1), voter("b", 2),
@@ -108,7 +108,7 @@
 {
     const auto status = leader_of(
         {voter("a", 1), voter("b", 2), voter("c", 3, milliseconds(2000))},
-        {stranger("d", 4)});
+        {non_member("d", 4)});
     EXPECT_EQ(decide(status), change(member_change_kind::add_observer, "d", 4));
 }
 
@@ -117,7 +117,7 @@
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3),
                    member_of("d", 4, member_role::observer, just_heard)},
-                  {stranger("e", 5)});
+                  {non_member("e", 5)});
     EXPECT_EQ(decide(status, 2), change(member_change_kind::add_voter, "d", 4));
     EXPECT_EQ(decide(status, 1),
               change(member_change_kind::add_observer, "e", 5));
@@ -126,7 +126,7 @@
 TEST(voter_policy, a_host_that_said_hello_long_ago_is_not_taken)
 {
     const auto status = leader_of({voter("a", 1), voter("b", 2)},
-                                  {stranger("c", 3, long_silent)});
+                                  {non_member("c", 3, long_silent)});
     EXPECT_FALSE(decide(status));
 }
 
@@ -157,7 +157,7 @@
 // with its log, and was left out of everything.
 TEST(voter_policy, a_host_that_is_there_without_need_becomes_an_observer)
 {
-    stranger_status removed = stranger("d", 4);
+    non_member_status removed = non_member("d", 4);
     removed.blank = false;
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3)}, {removed});
