--- a/packages/replication/test/fake_cluster.hpp
+++ b/packages/replication/test/fake_cluster.hpp
@@ -21,51 +21,53 @@
 namespace crowlink::replication
 {
 
-// Which rules the hosts of a fake cluster keep; all, unless a test wants to see
-// that a missing one is noticed.
+// The rules of the hosts in a fake cluster. A test disables one to show that
+// its absence is detected.
 struct cluster_rules
 {
     replica_rules replica;
     store_rules store;
     bool sync = true;
-    // Off, so that tests say themselves who is admitted when.
+    // Off, so that tests control when hosts are admitted.
     bool admit_observers = false;
-    // Who votes when no operator decides it; off unless a test is about that.
+    // Settings of the voter policy; empty if members change only by request.
     std::optional<voter_policy_settings> voters{};
 };
 
-// Control hosts over a fake network, fake disks and clocks that run at
-// different rates. Everything random comes from the seed.
+// Control hosts with a simulated network, simulated disks and clocks of
+// different rates. The seed determines all random choices.
 class fake_cluster
 {
 public:
     static constexpr duration step_length = std::chrono::milliseconds(10);
 
-    // The first `voters` hosts found the log; `spares` more may be admitted.
+    // The first `voters` hosts bootstrap the log; `spares` more may be
+    // admitted.
     fake_cluster(std::size_t voters, std::size_t spares, std::uint64_t seed,
                  cluster_rules rules = {});
 
     void step();
     void run(std::size_t steps);
-    // Whether it came true within so many steps.
+    // Runs until the condition holds; false if it does not within `steps`.
     bool run_until(const std::function<bool()>& reached,
                    std::size_t steps = 3000);
 
-    // Sends the host a change from this base; the name is its operation id.
+    // Proposes a change of this base version to the host; `operation` is its
+    // operation id.
     void propose(std::size_t host, const std::string& operation,
                  std::uint64_t base);
-    // The same again, perhaps to another host.
+    // Proposes the same operation again, possibly to another host.
     void resend(std::size_t host, const std::string& operation);
-    // The newest answer, if there is one.
+    // The latest answer; null if there is none.
     const change_outcome* answer(const std::string& operation) const;
-    // The host reads the revision that an order about the data centre is to be
-    // proposed with; nothing is sent yet. Yields the order's number, or nothing
-    // where the host may not answer reads.
-    std::optional<std::size_t> take_order(std::size_t host, bool evacuates);
-    // Proposes the order, perhaps long after it was taken, or once more.
-    void send_order(std::size_t host, std::size_t order);
-    // Takes an order and sends it at once; empty where the host doesn't lead.
-    std::optional<std::size_t> give_order(std::size_t host, bool evacuates);
+    // Prepares an evacuation order with the revision that the host reads, and
+    // proposes nothing yet. Returns the number of the order; empty if the host
+    // may not answer reads.
+    std::optional<std::size_t> prepare_order(std::size_t host, bool evacuates);
+    // Proposes a prepared order, possibly late or repeatedly.
+    void propose_order(std::size_t host, std::size_t order);
+    // Prepares and proposes an order; empty if the host may not answer reads.
+    std::optional<std::size_t> issue_order(std::size_t host, bool evacuates);
     const change_outcome* order_answer(std::size_t order) const;
     bool evacuated(std::size_t host) const;
     std::size_t orders() const { return m_orders.size(); }
@@ -75,13 +77,13 @@
     void crash(std::size_t host);
     void restart(std::size_t host);
     void lose_disk(std::size_t host);
-    // Its writes take so many steps more.
+    // Delays each write of the host by this many steps.
     void slow_disk(std::size_t host, std::uint64_t steps);
     void isolate(std::size_t host);
     void block(std::size_t from, std::size_t to);
     void heal() { m_blocked.clear(); }
-    // Messages are lost and doubled with these chances of 100.
-    void disturb(unsigned loss, unsigned doubling);
+    // Sets the percentages of messages that are lost and duplicated.
+    void set_message_faults(unsigned loss, unsigned duplication);
 
     std::optional<std::size_t> leader() const;
     std::size_t size() const { return m_hosts.size(); }
@@ -107,7 +109,7 @@
         fake_disk disk;
         std::optional<log_storage<fake_disk>> storage;
         std::optional<replicated_document> document;
-        // What the disk is to write, and when it comes to it.
+        // Pending writes with the steps at which they are carried out.
         std::deque<std::pair<std::uint64_t, persist_request>> writes;
         std::uint64_t disk_delay = 0;
         double clock_rate = 1.0;
@@ -121,11 +123,11 @@
     time_point now(const fake_host& host) const;
     void deliver();
     void write(std::size_t host);
-    void keep_voters(std::size_t host);
-    void carry_out(std::size_t host,
-                   const std::vector<document_effect>& effects);
+    void apply_voter_policy(std::size_t host);
+    void execute_effects(std::size_t host,
+                         const std::vector<document_effect>& effects);
     void event(std::size_t host, const document_event& one);
-    void post(const replica_message& message);
+    void transmit(const replica_message& message);
     void check();
 
     cluster_rules m_rules;
@@ -135,7 +137,7 @@
     std::deque<fake_message> m_network;
     std::set<std::pair<std::size_t, std::size_t>> m_blocked;
     unsigned m_loss = 0;
-    unsigned m_doubling = 0;
+    unsigned m_duplication = 0;
     std::uint64_t m_step = 0;
     std::uint64_t m_next_request = 1;
     std::map<std::uint64_t, operation_id> m_requests;
--- a/packages/replication/test/fake_disk.cpp
+++ b/packages/replication/test/fake_disk.cpp
@@ -106,7 +106,7 @@
     m_synced = m_files;
 }
 
-void fake_disk::damage(const std::string& name, std::size_t offset)
+void fake_disk::corrupt_byte(const std::string& name, std::size_t offset)
 {
     char& byte = m_files.at(name)->bytes.at(offset);
     byte = static_cast<char>(~byte);
--- a/packages/replication/test/fake_disk.hpp
+++ b/packages/replication/test/fake_disk.hpp
@@ -16,7 +16,7 @@
 namespace crowlink::replication
 {
 
-// A data folder in memory that forgets, at a crash, what was not synced.
+// A data folder in memory that loses unsynced data in a crash.
 class fake_disk
 {
 public:
@@ -38,17 +38,17 @@
     result<void> remove(const std::string& name);
 
     void set_fault(fault value) { m_fault = value; }
-    // After so many more changing calls the host loses power: nothing has an
-    // effect any more until crash().
+    // Simulates a power failure after this many more modifying calls: later
+    // calls have no effect until crash().
     void halt_after(std::size_t calls) { m_calls_left = calls; }
     bool halted() const { return m_calls_left == 0; }
 
-    // Power comes back: of what was not synced, a random part is there, and its
-    // last byte may be wrong.
+    // Restores power: a random part of the unsynced data is kept, and its last
+    // byte may be corrupt.
     void crash(seeded_random& random);
 
-    // Turns one byte around, as a failing medium does.
-    void damage(const std::string& name, std::size_t offset);
+    // Inverts one byte, as a failing medium may.
+    void corrupt_byte(const std::string& name, std::size_t offset);
 
 private:
     struct stored_file
--- a/packages/replication/test/heap_peak.cpp
+++ b/packages/replication/test/heap_peak.cpp
@@ -11,7 +11,7 @@
 std::atomic<std::size_t> held{0};
 std::atomic<std::size_t> peak{0};
 
-void note_peak(std::size_t bytes)
+void update_peak(std::size_t bytes)
 {
     std::size_t most = peak.load();
     while (bytes > most && !peak.compare_exchange_weak(most, bytes))
@@ -44,7 +44,7 @@
         throw std::bad_alloc();
     }
     const std::size_t bytes = malloc_usable_size(memory);
-    note_peak(held.fetch_add(bytes) + bytes);
+    update_peak(held.fetch_add(bytes) + bytes);
     return memory;
 }
 
--- a/packages/replication/test/heap_peak.hpp
+++ b/packages/replication/test/heap_peak.hpp
@@ -5,10 +5,10 @@
 namespace crowlink
 {
 
-// The bytes of the heap that this program holds.
+// The number of heap bytes that this process has allocated now.
 std::size_t heap_bytes();
 
-// The most that it held since the last call of reset_heap_peak.
+// The maximum of heap_bytes() since the last call of reset_heap_peak().
 std::size_t heap_peak();
 void reset_heap_peak();
 
--- a/packages/replication/test/history_checker.cpp
+++ b/packages/replication/test/history_checker.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// Clocks run at rates of 0.96 to 1.04, so that a leader which is cut off may
-// hold its lease for 80 ms more than others wait, and a message takes 30 ms.
+// The clock rates are 0.96 to 1.04, so that an isolated leader may hold its
+// lease for 80 ms longer than the others wait, and a message takes up to 30 ms.
 constexpr double clock_slack = 1.1;
 constexpr duration age_slack = std::chrono::milliseconds(200);
 
@@ -24,8 +24,8 @@
     }
 }
 
-void history_checker::see(const replica_status& status,
-                          const document_store& store, bool can_read)
+void history_checker::check_replica(const replica_status& status,
+                                    const document_store& store, bool can_read)
 {
     const std::string& name = status.self.value();
     if (status.role == replica_role::leader)
@@ -47,7 +47,7 @@
     for (auto one = history.rbegin();
          one != history.rend() && one->version.value() > applied; ++one)
     {
-        see_version(status.self, *one);
+        check_version(status.self, *one);
     }
     applied = current;
     if (can_read && current < m_acknowledged)
@@ -58,8 +58,8 @@
     }
 }
 
-void history_checker::see_age(const host_id& host, const document_store& store,
-                              duration age)
+void history_checker::check_age(const host_id& host,
+                                const document_store& store, duration age)
 {
     const auto oldest = std::chrono::duration_cast<duration>(age * clock_slack);
     const auto after =
@@ -78,11 +78,11 @@
     }
 }
 
-void history_checker::see_version(const host_id& host,
-                                  const document_version& version)
+void history_checker::check_version(const host_id& host,
+                                    const document_version& version)
 {
     const std::uint64_t number = version.version.value();
-    const auto [known, fresh] = m_naive.emplace(number, version);
+    const auto [known, fresh] = m_reference.emplace(number, version);
     if (!fresh && known->second != version)
     {
         report(fmt::format("version {} is {} at {}, but was {}", number,
@@ -104,7 +104,7 @@
     }
 }
 
-void history_checker::order_taken(std::size_t order, bool evacuates)
+void history_checker::order_prepared(std::size_t order, bool evacuates)
 {
     m_orders.resize(order + 1);
     m_orders[order] = evacuates;
@@ -123,8 +123,8 @@
     m_last_order = std::max(m_last_order.value_or(order), order);
 }
 
-// Only an order that was taken later may undo one that was acknowledged.
-void history_checker::see_evacuated(const host_id& host, bool evacuated)
+// Only an order that was prepared later may undo an acknowledged order.
+void history_checker::check_evacuated(const host_id& host, bool evacuated)
 {
     if (!m_last_order || m_orders[*m_last_order] == evacuated)
     {
@@ -172,19 +172,20 @@
         m_acknowledged = version;
         m_acknowledged_at[m_now] = version;
     }
-    const auto naive = m_naive.find(version);
-    if (naive != m_naive.end() && naive->second.operation != operation)
+    const auto reference = m_reference.find(version);
+    if (reference != m_reference.end() &&
+        reference->second.operation != operation)
     {
         report(fmt::format("version {} was acknowledged to {}, but is {}",
                            version, operation.value(),
-                           naive->second.operation.value()));
+                           reference->second.operation.value()));
     }
-    if (naive == m_naive.end())
+    if (reference == m_reference.end())
     {
         const document_change& change = m_proposed.at(operation);
-        m_naive.emplace(version, document_version{outcome.version, operation,
-                                                  change.operator_name,
-                                                  change.document});
+        m_reference.emplace(
+            version, document_version{outcome.version, operation,
+                                      change.operator_name, change.document});
         m_effects.emplace(operation, version);
     }
 }
--- a/packages/replication/test/history_checker.hpp
+++ b/packages/replication/test/history_checker.hpp
@@ -14,31 +14,32 @@
 namespace crowlink::replication
 {
 
-// Compares what the hosts show with the naive version: one map from version to
-// change, filled in by whoever shows a version first. Keeps the first
-// violation that it sees.
+// Compares the states of the hosts with a reference model: a map from version
+// to change, in which the first host that shows a version records it. Keeps the
+// first violation.
 class history_checker
 {
 public:
-    // Role and term of a running host, and what its store holds.
-    void see(const replica_status& status, const document_store& store,
-             bool can_read);
-    // The time outside of all hosts.
+    // Checks the role, the term and the store of a running host.
+    void check_replica(const replica_status& status,
+                       const document_store& store, bool can_read);
+    // Sets the simulated time, independent of the clocks of the hosts.
     void at(time_point now) { m_now = now; }
-    // A host believes that its document was the newest so long ago.
-    void see_age(const host_id& host, const document_store& store,
-                 duration age);
-    // A host starts anew, and may apply again what it had applied.
+    // Checks the claim of a host that its document was the newest `age` ago.
+    void check_age(const host_id& host, const document_store& store,
+                   duration age);
+    // Records a restart, after which a host may apply the same entries again.
     void restarted(const host_id& host) { m_applied.erase(host); }
     void proposed(const document_change& change);
     void answered(const operation_id& operation, const change_outcome& outcome);
 
-    // An order about the data centre was taken, and later answered. Orders are
-    // numbered in the sequence in which they are taken.
-    void order_taken(std::size_t order, bool evacuates);
+    // Record that an evacuation order was prepared, and answered. Orders are
+    // numbered in the sequence in which they are prepared.
+    void order_prepared(std::size_t order, bool evacuates);
     void order_answered(std::size_t order, const change_outcome& outcome);
-    // A host that may be read says whether the data centre is evacuated.
-    void see_evacuated(const host_id& host, bool evacuated);
+    // Checks the answer of a host that may be read whether the data centre is
+    // evacuated.
+    void check_evacuated(const host_id& host, bool evacuated);
 
     void report(const std::string& what);
 
@@ -48,22 +49,22 @@
     std::size_t acknowledged_orders() const { return m_acknowledged_orders; }
 
 private:
-    void see_version(const host_id& host, const document_version& version);
+    void check_version(const host_id& host, const document_version& version);
 
     std::map<term_number, host_id> m_leaders;
-    std::map<std::uint64_t, document_version> m_naive;
+    std::map<std::uint64_t, document_version> m_reference;
     std::map<operation_id, std::uint64_t> m_effects;
     std::map<operation_id, document_change> m_proposed;
     std::map<operation_id, change_outcome> m_answers;
     std::map<host_id, std::uint64_t> m_applied;
     std::uint64_t m_acknowledged = 0;
-    // When each version was acknowledged first.
+    // The versions by the time at which each was first acknowledged.
     std::map<time_point, std::uint64_t> m_acknowledged_at;
     time_point m_now;
     std::size_t m_applied_answers = 0;
-    // Whether each order evacuates.
+    // Whether each order starts an evacuation, by its number.
     std::vector<bool> m_orders;
-    // Of those that were acknowledged, the one that was taken last.
+    // The acknowledged order that was prepared last.
     std::optional<std::size_t> m_last_order;
     std::size_t m_acknowledged_orders = 0;
     std::string m_violation;
--- a/packages/replication/test/end_of_lease_test.cpp
+++ b/packages/replication/test/leader_lease_test.cpp
@@ -4,7 +4,8 @@
 
 #include <gtest/gtest.h>
 
-// A leader that asks for votes leads no more: nobody waits for its lease then.
+// Voters do not wait out the lease of a former leader that requests votes or
+// reports that it lost its disk.
 namespace crowlink::replication
 {
 
@@ -19,7 +20,7 @@
 const disk_id other_disk(2);
 const disk_id own_disk(3);
 
-// A follower of `leader` in `led_term`, as of its own disk after a restart.
+// The durable state of a follower of `leader` in `led_term`, for a restart.
 durable_state follower_state()
 {
     durable_state state;
@@ -43,16 +44,16 @@
     return made;
 }
 
-class lease : public testing::Test
+class former_leader_lease : public testing::Test
 {
 protected:
-    explicit lease(replica_rules rules = {})
+    explicit former_leader_lease(replica_rules rules = {})
         : m_core(settings(), follower_state(), m_now, seeded_random(1), rules)
     {
         m_core.start();
     }
 
-    // Whether the host would vote for a candidate that asks it first.
+    // Whether the host grants its vote to this candidate.
     bool would_vote_for(const host_id& from, disk_id disk, term_number term,
                         bool pre_vote = true)
     {
@@ -67,7 +68,7 @@
         bool granted = false;
         std::vector<replica_effect> effects =
             m_core.handle(m_now, message_received{message});
-        finish_writes(effects);
+        complete_writes(effects);
         for (const replica_effect& effect : effects)
         {
             const auto* sent = std::get_if<send_message>(&effect);
@@ -78,12 +79,13 @@
         return granted;
     }
 
-    // Lets the host ask the leader that it waits for; the question's number.
-    std::uint64_t asked()
+    // Returns the number of the disk question that the host sends to the
+    // leader, 0 if it sends none.
+    std::uint64_t sent_question_number()
     {
         std::uint64_t number = 0;
         std::vector<replica_effect> effects = m_core.handle(m_now, tick{});
-        finish_writes(effects);
+        complete_writes(effects);
         for (const replica_effect& effect : effects)
         {
             const auto* sent = std::get_if<send_message>(&effect);
@@ -107,8 +109,8 @@
                                  disk_answer{number, blank}}});
     }
 
-    // Votes are sent once they are written down.
-    void finish_writes(std::vector<replica_effect>& effects)
+    // Votes are sent once they are durable.
+    void complete_writes(std::vector<replica_effect>& effects)
     {
         for (std::size_t at = 0; at < effects.size(); ++at)
         {
@@ -126,69 +128,75 @@
     replica m_core;
 };
 
-class lease_without_term : public lease
+class lease_without_term_check : public former_leader_lease
 {
 protected:
-    lease_without_term() : lease(replica_rules{.check_ended_term = false}) {}
+    lease_without_term_check()
+        : former_leader_lease(replica_rules{.check_ended_term = false})
+    {
+    }
 };
 
-class lease_without_number : public lease
+class lease_without_number_check : public former_leader_lease
 {
 protected:
-    lease_without_number() : lease(replica_rules{.check_answer_number = false})
+    lease_without_number_check()
+        : former_leader_lease(replica_rules{.check_answer_number = false})
     {
     }
 };
 
-TEST_F(lease, is_over_once_the_leader_says_that_its_disk_is_empty)
+TEST_F(former_leader_lease, ends_when_the_leader_reports_an_empty_disk)
 {
-    const std::uint64_t number = asked();
+    const std::uint64_t number = sent_question_number();
     ASSERT_NE(number, 0U);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
     answer(leader, number, true);
     EXPECT_TRUE(would_vote_for(other, other_disk, led_term));
 }
 
-// It lost a disk before, was admitted with another one and leads with that.
-TEST_F(lease, is_not_over_by_a_late_answer_of_an_earlier_loss)
+// The leader had lost a disk before, and was then admitted and elected with
+// another one. A delayed answer about the first loss must not end its lease.
+TEST_F(former_leader_lease,
+       is_not_ended_by_a_delayed_answer_about_an_earlier_disk)
 {
-    const std::uint64_t number = asked();
+    const std::uint64_t number = sent_question_number();
     answer(leader, number + 1, true);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease_without_number, is_wrongly_over_by_a_late_answer)
+TEST_F(lease_without_number_check, is_ended_wrongly_by_a_delayed_answer)
 {
-    const std::uint64_t number = asked();
+    const std::uint64_t number = sent_question_number();
     answer(leader, number + 1, true);
     EXPECT_TRUE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease, is_not_over_by_a_leader_that_has_its_disk)
+TEST_F(former_leader_lease, is_not_ended_by_a_leader_that_has_its_disk)
 {
-    answer(leader, asked(), false);
+    answer(leader, sent_question_number(), false);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease, is_not_over_by_the_empty_disk_of_another_host)
+TEST_F(former_leader_lease, is_not_ended_by_the_empty_disk_of_another_host)
 {
-    answer(other, asked(), true);
+    answer(other, sent_question_number(), true);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease, is_asked_for_at_the_rate_of_heartbeats)
+TEST_F(former_leader_lease, disk_questions_are_sent_at_the_heartbeat_interval)
 {
-    const std::uint64_t number = asked();
+    const std::uint64_t number = sent_question_number();
     m_now += settings().heartbeat_interval - std::chrono::milliseconds(1);
-    EXPECT_EQ(asked(), 0U);
+    EXPECT_EQ(sent_question_number(), 0U);
     m_now += std::chrono::milliseconds(1);
-    EXPECT_EQ(asked(), number);
-    // Once the wait is over nobody is asked.
+    EXPECT_EQ(sent_question_number(), number);
+    // No question is sent after the lease has expired.
     m_now += settings().election_timeout;
-    EXPECT_EQ(asked(), 0U);
+    EXPECT_EQ(sent_question_number(), 0U);
 }
 
-TEST_F(lease, of_a_leader_that_stays_away_is_waited_for)
+TEST_F(former_leader_lease, is_waited_out_if_the_leader_does_not_return)
 {
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
     m_now += std::chrono::milliseconds(999);
@@ -197,46 +205,49 @@
     EXPECT_TRUE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease, is_over_once_the_leader_itself_asks_for_votes)
+TEST_F(former_leader_lease, ends_when_the_leader_requests_votes)
 {
     EXPECT_TRUE(would_vote_for(leader, leader_disk, led_term));
     EXPECT_TRUE(would_vote_for(other, other_disk, led_term));
 }
 
-// It may have been sent before the leader won that term.
-TEST_F(lease, is_not_over_by_a_late_message_of_an_earlier_term)
+// The message may have been sent before the leader won its present term.
+TEST_F(former_leader_lease,
+       is_not_ended_by_a_delayed_message_of_an_earlier_term)
 {
     would_vote_for(leader, leader_disk, led_term - 1);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease_without_term, is_wrongly_over_by_a_late_message)
+TEST_F(lease_without_term_check, is_ended_wrongly_by_a_delayed_message)
 {
     would_vote_for(leader, leader_disk, led_term - 1);
     EXPECT_TRUE(would_vote_for(other, other_disk, led_term));
 }
 
-// The candidate of a term may still win it after its request was sent.
-TEST_F(lease, is_not_over_by_the_request_that_won_the_term)
+// A candidate may win the term of its request after it has sent the request.
+TEST_F(former_leader_lease,
+       is_not_ended_by_the_vote_request_of_the_term_that_it_won)
 {
     would_vote_for(leader, leader_disk, led_term, false);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-TEST_F(lease, is_over_once_the_leader_is_in_a_later_term)
+TEST_F(former_leader_lease, ends_when_the_leader_is_in_a_later_term)
 {
     EXPECT_TRUE(would_vote_for(leader, leader_disk, led_term + 1, false));
 }
 
-TEST_F(lease, is_not_over_by_the_word_of_another_disk)
+TEST_F(former_leader_lease, is_not_ended_by_a_message_from_another_disk)
 {
     would_vote_for(leader, other_disk, led_term);
     EXPECT_FALSE(would_vote_for(other, other_disk, led_term));
 }
 
-// After a loss of everything the former leader's return ends the wait, though
-// all others started later than the lease could tell.
-TEST(end_of_lease, a_leader_that_is_back_leads_again_without_a_wait)
+// After a restart of all hosts, the others cannot know whether the lease has
+// expired; the return of the former leader ends their wait.
+TEST(leader_restart,
+     a_restarted_leader_is_elected_without_waiting_for_its_lease)
 {
     // Two rounds of messages and writes of up to 30 ms each, where the election
     // timeout alone is 1 s.
@@ -257,16 +268,17 @@
         EXPECT_TRUE(cluster.run_until([&] { return !!cluster.leader(); },
                                       quarter_of_a_second))
             << "seed " << seed;
-        ASSERT_TRUE(cluster.run_until([&] { return everywhere(cluster, 2); }));
+        ASSERT_TRUE(cluster.run_until([&] { return all_applied(cluster, 2); }));
         EXPECT_EQ(cluster.violation(), "") << "seed " << seed;
     }
 }
 
-// The same where the former leader lost its disk: it can't campaign, but says
-// so. Without its word nobody votes within the election timeout of 100 steps.
-// With it 45 of the 50 seeds have a leader sooner, half of them within 65; in
-// the others two hosts campaign at once and have to do it again.
-TEST(end_of_lease, a_leader_that_lost_its_disk_is_not_waited_for)
+// A former leader that lost its disk cannot campaign, but reports the loss.
+// Without its answer no host votes within the election timeout of 100 steps.
+// With it 45 of the 50 seeds have a leader sooner, half of them within 65
+// steps; in the others two hosts campaign at once and have to repeat the
+// election.
+TEST(leader_restart, the_lease_of_a_leader_that_lost_its_disk_is_not_waited_out)
 {
     constexpr std::size_t timeout_steps = 100;
     constexpr std::uint64_t seeds = 50;
@@ -277,7 +289,7 @@
         fake_cluster cluster(5, 0, seed);
         make_versions(cluster, 2, "a");
         cluster.run(timeout_steps);
-        const std::size_t led = settle(cluster);
+        const std::size_t led = wait_for_leader(cluster);
         for (std::size_t host = 0; host < cluster.size(); ++host)
         {
             cluster.crash(host);
--- a/packages/replication/test/log_storage_test.cpp
+++ b/packages/replication/test/log_storage_test.cpp
@@ -46,7 +46,7 @@
              { return opened.take_restored(); });
 }
 
-// Ten entries over several segments.
+// Writes ten entries in several segments.
 void fill(fake_disk& disk)
 {
     auto storage =
@@ -64,7 +64,7 @@
     return disk.list()->back();
 }
 
-TEST(log_storage, gives_back_what_was_written)
+TEST(log_storage, restores_what_was_written)
 {
     fake_disk disk;
     fill(disk);
@@ -75,7 +75,7 @@
     EXPECT_EQ(state->entries, entries(1, 10, 1).entries);
 }
 
-TEST(log_storage, a_later_term_replaces_the_tail)
+TEST(log_storage, entries_of_a_later_term_replace_the_tail)
 {
     fake_disk disk;
     fill(disk);
@@ -89,7 +89,7 @@
     EXPECT_EQ(state->entries[5].term, 2U);
 }
 
-TEST(log_storage, cuts_a_torn_tail_at_every_length)
+TEST(log_storage, truncates_a_torn_last_record_of_every_length)
 {
     fake_disk whole;
     fill(whole);
@@ -116,14 +116,14 @@
     }
 }
 
-TEST(log_storage, refuses_damage_before_the_end_and_names_it)
+TEST(log_storage, reports_corruption_before_the_end_with_its_position)
 {
     const std::string first = "log-0000000000000001";
     for (const std::size_t offset : {0U, 5U, 9U, 30U})
     {
         fake_disk disk;
         fill(disk);
-        disk.damage(first, offset);
+        disk.corrupt_byte(first, offset);
         const auto state = reopen(disk);
         ASSERT_FALSE(state);
         EXPECT_EQ(state.error().kind, error_kind::storage);
@@ -132,7 +132,7 @@
     }
 }
 
-TEST(log_storage, refuses_a_missing_segment_and_a_missing_identity)
+TEST(log_storage, reports_a_missing_segment_and_a_missing_identity)
 {
     fake_disk disk;
     fill(disk);
@@ -159,9 +159,10 @@
     EXPECT_EQ(state->entries, entries(9, 10, 1).entries);
 }
 
-// Power goes at every point of a write that replaces the log by a snapshot: the
-// folder holds either the old log or the snapshot, and goes on from there.
-TEST(log_storage, a_snapshot_from_the_leader_is_taken_whole_or_not)
+// Power fails at every point of a write that replaces the log by a snapshot.
+// The folder must then hold either the old log or the snapshot, and accept
+// entries.
+TEST(log_storage, a_snapshot_from_the_leader_replaces_the_log_atomically)
 {
     bool took_all = false;
     for (std::size_t calls = 1; !took_all; ++calls)
@@ -227,7 +228,7 @@
     std::filesystem::path m_path;
 };
 
-TEST(posix_file_system, holds_a_log_and_is_held_by_one_process)
+TEST(posix_file_system, stores_a_log_and_is_locked_by_one_process)
 {
     const temporary_folder folder;
     {
@@ -251,7 +252,7 @@
     EXPECT_EQ(state->entries, entries(5, 10, 1).entries);
 }
 
-TEST(posix_file_system, names_a_folder_that_it_cannot_use)
+TEST(posix_file_system, names_the_folder_in_an_error)
 {
     const auto files = posix_file_system::open("/proc/nowhere");
     ASSERT_FALSE(files);
--- a/packages/replication/test/replica_test.cpp
+++ b/packages/replication/test/replica_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-// One replica, driven by hand where a cluster would rarely come to the point.
+// Drives one replica directly through states that a cluster rarely reaches.
 namespace crowlink::replication
 {
 
@@ -20,8 +20,8 @@
     return disk_id(static_cast<unsigned char>(host.value()[0]));
 }
 
-// Founded by three voters, with one change that may not be committed.
-durable_state founded()
+// The state of a log with three voters and a change that may be uncommitted.
+durable_state initial_state()
 {
     std::vector<member> voters;
     for (const host_id& host : {self, second, third})
@@ -37,17 +37,17 @@
     return state;
 }
 
-class driven_replica
+class replica_driver
 {
 public:
-    explicit driven_replica(durable_state restored)
+    explicit replica_driver(durable_state restored)
         : m_replica(settings(), std::move(restored), m_now, seeded_random(1))
     {
         m_replica.start();
     }
 
-    // The messages that the event makes it send.
-    std::vector<replica_message> give(const replica_event& event)
+    // Returns the messages that the replica sends on the event.
+    std::vector<replica_message> handle_input(const replica_event& event)
     {
         std::vector<replica_message> sent;
         for (const replica_effect& effect : m_replica.handle(m_now, event))
@@ -67,28 +67,28 @@
     std::vector<replica_message> receive(const host_id& from, term_number term,
                                          message_body body)
     {
-        return give(message_received{replica_message{from, disk_of(from), self,
-                                                     disk_of(self), 9, term,
-                                                     std::move(body)}});
+        return handle_input(message_received{
+            replica_message{from, disk_of(from), self, disk_of(self), 9, term,
+                            std::move(body)}});
     }
 
-    std::vector<replica_message> finish_write()
+    std::vector<replica_message> complete_write()
     {
-        return give(storage_done{written.sequence});
+        return handle_input(storage_done{written.sequence});
     }
 
     void wait(duration time) { m_now += time; }
     replica_status status() const { return m_replica.status(m_now); }
     std::int64_t clock() const { return m_now.time_since_epoch().count(); }
 
-    // Through both rounds of an election.
-    void win()
+    // Wins the pre-vote and the election.
+    void win_election()
     {
         wait(std::chrono::seconds(2));
-        give(tick{});
+        handle_input(tick{});
         const term_number term = status().term + 1;
         receive(second, term - 1, vote_reply{true, true, term});
-        finish_write();
+        complete_write();
         receive(second, term, vote_reply{false, true, term});
     }
 
@@ -107,19 +107,19 @@
     replica m_replica;
 };
 
-TEST(replica, a_vote_is_held_before_it_is_told_and_kept_over_a_restart)
+TEST(replica, a_vote_is_durable_before_it_is_sent_and_survives_a_restart)
 {
     const vote_request request{false, 2, 2, 3};
-    driven_replica voter(founded());
+    replica_driver voter(initial_state());
     voter.wait(std::chrono::milliseconds(1100));
     EXPECT_TRUE(voter.receive(second, 3, request).empty());
-    const auto told = voter.finish_write();
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(std::get<vote_reply>(told[0].body), (vote_reply{false, true, 3}));
+    const auto sent = voter.complete_write();
+    ASSERT_EQ(sent.size(), 1U);
+    EXPECT_EQ(std::get<vote_reply>(sent[0].body), (vote_reply{false, true, 3}));
 
-    durable_state kept = founded();
+    durable_state kept = initial_state();
     kept.state = voter.written.state;
-    driven_replica restarted(kept);
+    replica_driver restarted(kept);
     restarted.wait(std::chrono::milliseconds(900));
     EXPECT_TRUE(restarted.receive(second, 3, request).empty());
     restarted.wait(std::chrono::milliseconds(200));
@@ -128,21 +128,21 @@
     EXPECT_FALSE(std::get<vote_reply>(other[0].body).granted);
 }
 
-TEST(replica, a_leader_commits_earlier_terms_only_with_its_own)
+TEST(replica, a_leader_commits_earlier_terms_only_with_an_entry_of_its_own)
 {
-    driven_replica leader(founded());
-    leader.win();
+    replica_driver leader(initial_state());
+    leader.win_election();
     ASSERT_EQ(leader.status().role, replica_role::leader);
-    leader.finish_write();
+    leader.complete_write();
     leader.receive(second, 3, append_reply{true, 2, 3, leader.clock()});
     EXPECT_EQ(leader.status().commit, 1U);
     leader.receive(second, 3, append_reply{true, 3, 4, leader.clock()});
     EXPECT_EQ(leader.status().commit, 3U);
 }
 
-TEST(replica, heeds_only_the_disks_that_were_admitted)
+TEST(replica, ignores_messages_to_or_from_disks_that_were_not_admitted)
 {
-    driven_replica voter(founded());
+    replica_driver voter(initial_state());
     voter.wait(std::chrono::milliseconds(1100));
     const replica_message to_another_disk{second,
                                           disk_of(second),
@@ -151,12 +151,12 @@
                                           9,
                                           3,
                                           vote_request{false, 2, 2, 3}};
-    voter.give(message_received{to_another_disk});
+    voter.handle_input(message_received{to_another_disk});
     EXPECT_EQ(voter.status().term, 2U);
 
-    driven_replica leader(founded());
-    leader.win();
-    leader.finish_write();
+    replica_driver leader(initial_state());
+    leader.win_election();
+    leader.complete_write();
     const replica_message from_another_disk{
         second,
         disk_id(77),
@@ -165,19 +165,20 @@
         9,
         3,
         append_reply{true, 3, 4, leader.clock()}};
-    leader.give(message_received{from_another_disk});
+    leader.handle_input(message_received{from_another_disk});
     EXPECT_EQ(leader.status().commit, 1U);
 }
 
-// Its settings need not name the leader, so that its hello would not reach it.
-TEST(replica, one_that_lost_its_disk_says_hello_to_whoever_leads)
+// The settings need not name the leader, so that the regular hello of this host
+// would not reach it.
+TEST(replica, a_host_that_lost_its_disk_sends_hello_to_the_leader)
 {
     durable_state empty;
     empty.disk = disk_id(77);
-    driven_replica wiped(empty);
+    replica_driver wiped(empty);
     const replica_message for_the_lost_disk{
         second, disk_of(second), self, disk_of(self), 9, 3, append_request{}};
-    const auto sent = wiped.give(message_received{for_the_lost_disk});
+    const auto sent = wiped.handle_input(message_received{for_the_lost_disk});
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_EQ(sent[0].to, second);
     EXPECT_EQ(sent[0].from_disk, disk_id(77));
@@ -186,27 +187,27 @@
     EXPECT_EQ(wiped.status().term, 0U);
 }
 
-TEST(replica, a_leader_whose_storage_hangs_steps_down)
+TEST(replica, a_leader_whose_storage_stalls_steps_down)
 {
-    driven_replica leader(founded());
-    leader.win();
+    replica_driver leader(initial_state());
+    leader.win_election();
     for (int i = 0; i < 4; ++i)
     {
         leader.wait(std::chrono::milliseconds(700));
         leader.receive(second, 3, append_reply{true, 2, 3, leader.clock()});
-        leader.give(tick{});
+        leader.handle_input(tick{});
     }
     EXPECT_EQ(leader.status().role, replica_role::follower);
 }
 
 TEST(replica, drops_messages_of_another_log)
 {
-    driven_replica voter(founded());
-    const replica_message strange{
+    replica_driver voter(initial_state());
+    const replica_message foreign{
         second, disk_of(second), self, disk_of(self), 8, 30, hello{}};
-    replica_message append = strange;
+    replica_message append = foreign;
     append.body = append_request{2, 2, 2, {}, 0};
-    EXPECT_TRUE(voter.give(message_received{append}).empty());
+    EXPECT_TRUE(voter.handle_input(message_received{append}).empty());
     EXPECT_EQ(voter.status().term, 2U);
 }
 
--- a/packages/replication/test/scenario.cpp
+++ b/packages/replication/test/scenario.cpp
@@ -5,7 +5,7 @@
 namespace crowlink::replication
 {
 
-bool everywhere(const fake_cluster& cluster, std::uint64_t version)
+bool all_applied(const fake_cluster& cluster, std::uint64_t version)
 {
     for (std::size_t i = 0; i < cluster.size(); ++i)
     {
@@ -17,7 +17,7 @@
     return true;
 }
 
-std::size_t settle(fake_cluster& cluster)
+std::size_t wait_for_leader(fake_cluster& cluster)
 {
     EXPECT_TRUE(cluster.run_until(
         [&]
@@ -38,7 +38,7 @@
 {
     for (std::uint64_t i = 0; i < count; ++i)
     {
-        const std::size_t leader = settle(cluster);
+        const std::size_t leader = wait_for_leader(cluster);
         const std::uint64_t base = cluster.version(leader);
         const std::string operation = prefix + std::to_string(base);
         cluster.propose(leader, operation, base);
@@ -56,17 +56,18 @@
 
 void admit_voter(fake_cluster& cluster, std::size_t host)
 {
-    // Long enough for the leader to have heard its hello.
+    // Long enough for its hello to reach the leader.
     cluster.run(200);
     cluster.change_members(
-        settle(cluster),
+        wait_for_leader(cluster),
         {member_change_kind::add_voter, fake_cluster::name(host), disk_id()});
     ASSERT_TRUE(cluster.members_answer());
     const host_id name = fake_cluster::name(host);
     EXPECT_TRUE(cluster.run_until(
         [&]
         {
-            const replica_status status = cluster.status(settle(cluster));
+            const replica_status status =
+                cluster.status(wait_for_leader(cluster));
             for (const member_status& one : status.members)
             {
                 if (one.who.host == name)
--- a/packages/replication/test/schedule.cpp
+++ b/packages/replication/test/schedule.cpp
@@ -23,9 +23,10 @@
     m_cluster.propose(host, m_proposed.back(), base);
 }
 
-// Only while every voter is there, with its disk, and holds all that the leader
-// has: then the others keep a quorum of what was acknowledged.
-bool schedule::all_whole() const
+// Whether every voter is running with its admitted disk and holds the leader's
+// whole log, so that the loss of one disk leaves a quorum that holds every
+// acknowledged change.
+bool schedule::all_voters_intact() const
 {
     const auto leader = m_cluster.leader();
     if (!leader)
@@ -84,9 +85,9 @@
                                               one.amount % m_proposed.size()]);
         }
         break;
-    case action_kind::take_order:
-    case action_kind::send_order:
-    case action_kind::give_order:
+    case action_kind::prepare_order:
+    case action_kind::propose_order:
+    case action_kind::issue_order:
         order(one);
         break;
     case action_kind::crash:
@@ -110,11 +111,11 @@
     case action_kind::heal:
         m_cluster.heal();
         break;
-    case action_kind::disturb:
-        m_cluster.disturb(one.amount % 30, one.amount % 20);
+    case action_kind::set_message_faults:
+        m_cluster.set_message_faults(one.amount % 30, one.amount % 20);
         break;
     case action_kind::lose_disk:
-        if (all_whole())
+        if (all_voters_intact())
         {
             m_cluster.lose_disk(host);
         }
@@ -131,9 +132,9 @@
         }
         break;
     case action_kind::remove:
-        // A voter that is lost together with the removal of another is one
-        // failure too many for any log.
-        if (leader && all_whole())
+        // The loss of one voter during the removal of another is more than a
+        // log can tolerate.
+        if (leader && all_voters_intact())
         {
             m_cluster.change_members(*leader,
                                      {member_change_kind::remove,
@@ -143,33 +144,33 @@
     }
 }
 
-// At the leader, where there is one: no other host takes orders.
+// Uses the leader if there is one, since no other host accepts orders.
 void schedule::order(const action& one)
 {
     const std::size_t host =
         m_cluster.leader().value_or(one.host % m_cluster.size());
     const bool evacuates = one.amount % 2 == 0;
     const std::size_t known = m_cluster.orders();
-    if (one.kind == action_kind::take_order)
+    if (one.kind == action_kind::prepare_order)
     {
-        (void)m_cluster.take_order(host, evacuates);
+        (void)m_cluster.prepare_order(host, evacuates);
     }
-    else if (one.kind == action_kind::give_order)
+    else if (one.kind == action_kind::issue_order)
     {
-        (void)m_cluster.give_order(host, evacuates);
+        (void)m_cluster.issue_order(host, evacuates);
     }
     else if (known > 0 && m_cluster.up(host))
     {
         constexpr std::size_t kept = 6;
-        m_cluster.send_order(host,
-                             known - 1 - one.amount % std::min(kept, known));
+        m_cluster.propose_order(host,
+                                known - 1 - one.amount % std::min(kept, known));
     }
 }
 
 bool schedule::converge()
 {
     m_cluster.heal();
-    m_cluster.disturb(0, 0);
+    m_cluster.set_message_faults(0, 0);
     for (std::size_t i = 0; i < m_cluster.size(); ++i)
     {
         m_cluster.slow_disk(i, 0);
@@ -181,12 +182,12 @@
             {
                 m_cluster.restart(i);
             }
-            return agreed();
+            return all_hosts_agree();
         });
 }
 
-// A voter that lost its disk and was not admitted again cannot agree.
-bool schedule::agreed() const
+// Ignores members that lost their disk and were not admitted again.
+bool schedule::all_hosts_agree() const
 {
     const auto leader = m_cluster.leader();
     if (!leader ||
--- a/packages/replication/test/schedule.hpp
+++ b/packages/replication/test/schedule.hpp
@@ -17,27 +17,27 @@
     propose,
     race,
     resend,
-    // An order about the data centre is taken, and kept to be sent later.
-    take_order,
-    // One that was kept is sent, perhaps not for the first time.
-    send_order,
-    // An order is taken and sent at once.
-    give_order,
+    // Prepare an evacuation order and keep it to be proposed later.
+    prepare_order,
+    // Propose a kept order, possibly not for the first time.
+    propose_order,
+    // Prepare and propose an order.
+    issue_order,
     crash,
-    // Power goes in the middle of a write.
+    // Power fails in the middle of a write.
     halt,
     restart,
     isolate,
     block,
     heal,
-    disturb,
+    set_message_faults,
     lose_disk,
     slow_disk,
     admit,
     remove,
 };
 
-// One thing that happens to a cluster; what the numbers mean is the kind's.
+// One step of a schedule; the meaning of the numbers depends on the kind.
 struct action
 {
     action_kind kind = action_kind::run;
@@ -45,8 +45,8 @@
     unsigned amount = 0;
 };
 
-// Does actions to a cluster, as far as they leave the log recoverable: no more
-// disks are lost, before their hosts are voters again, than a minority.
+// Applies actions to a cluster as long as the log stays recoverable: at most a
+// minority of the disks is lost until their hosts are voters again.
 class schedule
 {
 public:
@@ -54,12 +54,12 @@
 
     void perform(const action& one);
 
-    // Repairs everything and waits until all hosts agree.
+    // Ends all faults and runs until all hosts agree; false if they do not.
     bool converge();
 
 private:
-    bool all_whole() const;
-    bool agreed() const;
+    bool all_voters_intact() const;
+    bool all_hosts_agree() const;
     void propose(std::size_t host, unsigned behind);
     void order(const action& one);
 
--- a/packages/replication/test/voter_policy_test.cpp
+++ b/packages/replication/test/voter_policy_test.cpp
@@ -56,20 +56,20 @@
     return member_change{kind, host_id(host), disk_id(disk)};
 }
 
-TEST(voter_policy, three_voters_that_answer_are_left_alone)
+TEST(voter_policy, three_reachable_voters_need_no_change)
 {
     EXPECT_FALSE(
         decide(leader_of({voter("a", 1), voter("b", 2), voter("c", 3)})));
 }
 
-TEST(voter_policy, only_the_leader_decides)
+TEST(voter_policy, only_the_leader_proposes_changes)
 {
     replica_status status = leader_of({voter("a", 1)}, {non_member("b", 2)});
     status.role = replica_role::follower;
     EXPECT_FALSE(decide(status));
 }
 
-TEST(voter_policy, a_voter_with_an_empty_disk_is_admitted_with_it)
+TEST(voter_policy, a_voter_that_lost_its_disk_is_admitted_with_the_new_one)
 {
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3, long_silent)},
@@ -77,7 +77,7 @@
     EXPECT_EQ(decide(status), change(member_change_kind::add_voter, "c", 9));
 }
 
-TEST(voter_policy, an_observer_with_an_empty_disk_stays_an_observer)
+TEST(voter_policy, an_observer_that_lost_its_disk_stays_an_observer)
 {
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3),
@@ -86,25 +86,26 @@
     EXPECT_EQ(decide(status), change(member_change_kind::add_observer, "d", 9));
 }
 
-TEST(voter_policy, a_host_at_a_new_address_takes_the_place_of_a_lost_voter)
+TEST(voter_policy, a_new_host_replaces_a_lost_voter)
 {
     const auto before =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3, long_silent)},
                   {non_member("d", 4)});
     EXPECT_EQ(decide(before), change(member_change_kind::add_voter, "d", 4));
-    // First the new one, then the lost one goes: never fewer that answer.
+    // The new voter is added before the lost one is removed, so that the number
+    // of reachable voters never decreases.
     const auto after = leader_of({voter("a", 1), voter("b", 2),
                                   voter("c", 3, long_silent), voter("d", 4)});
     EXPECT_EQ(decide(after), change(member_change_kind::remove, "c", 0));
 }
 
-TEST(voter_policy, a_lost_voter_keeps_its_vote_while_nobody_can_replace_it)
+TEST(voter_policy, a_lost_voter_keeps_its_vote_while_no_host_can_replace_it)
 {
     EXPECT_FALSE(decide(
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3, long_silent)})));
 }
 
-TEST(voter_policy, a_short_silence_replaces_nobody)
+TEST(voter_policy, a_short_silence_of_a_voter_does_not_replace_it)
 {
     const auto status = leader_of(
         {voter("a", 1), voter("b", 2), voter("c", 3, milliseconds(2000))},
@@ -112,7 +113,7 @@
     EXPECT_EQ(decide(status), change(member_change_kind::add_observer, "d", 4));
 }
 
-TEST(voter_policy, grows_to_what_the_losses_ask_for)
+TEST(voter_policy, adds_voters_up_to_the_number_that_the_failures_require)
 {
     const auto status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3),
@@ -123,14 +124,14 @@
               change(member_change_kind::add_observer, "e", 5));
 }
 
-TEST(voter_policy, a_host_that_said_hello_long_ago_is_not_taken)
+TEST(voter_policy, a_host_whose_hello_is_old_is_not_added)
 {
     const auto status = leader_of({voter("a", 1), voter("b", 2)},
                                   {non_member("c", 3, long_silent)});
     EXPECT_FALSE(decide(status));
 }
 
-TEST(voter_policy, of_several_lost_voters_the_longest_silent_one_goes)
+TEST(voter_policy, of_several_lost_voters_the_longest_silent_is_removed)
 {
     const auto status =
         leader_of({voter("a", 1), voter("b", 2, milliseconds(4000)),
@@ -141,8 +142,9 @@
     EXPECT_EQ(decide(never), change(member_change_kind::remove, "b", 0));
 }
 
-// The leader's host was stopped; who took over removed it half a second later.
-TEST(voter_policy, a_new_leader_gives_everybody_the_time_to_answer)
+// Without this delay, a new leader removes the host of a stopped leader half a
+// second after its own election.
+TEST(voter_policy, a_new_leader_waits_for_answers_before_it_removes_a_voter)
 {
     replica_status status =
         leader_of({voter("a", 1), voter("b", 2), voter("c", 3), voter("d", 4)});
@@ -153,9 +155,10 @@
     EXPECT_EQ(decide(status), change(member_change_kind::remove, "c", 0));
 }
 
-// A planned restart took longer than a loss: the host was removed, came back
-// with its log, and was left out of everything.
-TEST(voter_policy, a_host_that_is_there_without_need_becomes_an_observer)
+// A host whose restart takes longer than the loss timeout is removed. When it
+// returns with its log it must not stay excluded from the cluster.
+TEST(voter_policy,
+     a_reachable_host_beyond_the_needed_voters_becomes_an_observer)
 {
     non_member_status removed = non_member("d", 4);
     removed.blank = false;
@@ -164,7 +167,7 @@
     EXPECT_EQ(decide(status), change(member_change_kind::add_observer, "d", 4));
 }
 
-TEST(voter_policy, an_observer_that_is_gone_for_long_is_no_member)
+TEST(voter_policy, an_observer_that_is_silent_for_long_is_removed)
 {
     const auto with = [](duration age)
     {
