--- a/packages/membership/include/crowlink/membership.hpp
+++ b/packages/membership/include/crowlink/membership.hpp
@@ -1,20 +1,22 @@
 #pragma once
 
-// The membership module: who is there, and who is told. Announcers (in agents
-// and balancers) keep a lease at an observer; observers (in control hosts)
-// share what changed; publishers beside them send each node the services and
-// members that it wants; subscribers (in nodes) yield service views. All are
-// state machines without I/O that exchange wire::membership_message.
+// The membership module tracks which upstreams and balancers are alive and
+// distributes this to the nodes. Announcers (in agents and balancers) keep a
+// lease at an observer. Observers (in control hosts) exchange changes. The
+// publisher beside each observer streams to each node the services and members
+// that it subscribes to. Subscribers (in nodes) turn the streams into service
+// views. All are state machines without I/O that exchange
+// wire::membership_message.
 //
-//   balancer_record.hpp      what a balancer announces, and groups of balancers
-//   announcer.hpp            announces one record and keeps its lease
+//   balancer_record.hpp      the record of a balancer, and balancer groups
+//   announcer.hpp            announces one record and renews its lease
 //   announcement_policy.hpp  which key may announce which service
-//   announcement_gate.hpp    refuses what the policy does not allow
-//   observer.hpp             the newest record of everyone, leases, expiry
-//   publisher.hpp            streams to nodes, paced
-//   subscriber.hpp           a node's knowledge, as service views
+//   announcement_gate.hpp    refuses announcements against the policy
+//   observer.hpp             the newest record of every member, leases, expiry
+//   publisher.hpp            paced streams to the nodes
+//   subscriber.hpp           what a node knows, as service views
 //   membership_host.hpp      an observer with its publisher
-//   *_settings.hpp           what each of them can be told
+//   *_settings.hpp           the settings of each of them
 
 #include "crowlink/membership/announcement_gate.hpp"
 #include "crowlink/membership/announcement_policy.hpp"
--- a/packages/membership/include/crowlink/membership/announcement_gate.hpp
+++ b/packages/membership/include/crowlink/membership/announcement_gate.hpp
@@ -10,8 +10,8 @@
 namespace crowlink
 {
 
-// An observer's door: passes messages on, but refuses and counts announcements
-// of services that the sender's key may not announce.
+// Passes messages on to an observer, but refuses and counts announcements of
+// services that the sender's key may not announce.
 template <announcement_policy Policy>
 class announcement_gate
 {
@@ -30,7 +30,7 @@
         return refuse_announcement(from, in);
     }
 
-    // Announcements and renewals that were refused.
+    // The number of refused announcements and renewals.
     std::uint64_t refused() const { return m_refused; }
 
     void replace_policy(Policy policy) { m_policy = std::move(policy); }
--- a/packages/membership/include/crowlink/membership/announcement_policy.hpp
+++ b/packages/membership/include/crowlink/membership/announcement_policy.hpp
@@ -7,11 +7,12 @@
 namespace crowlink
 {
 
-// The identity that the transport proved for a peer: the name of its key.
+// The identity of a peer as authenticated by the transport: the name of its
+// key.
 using key_identity = typed_id<struct key_identity_tag, std::string>;
 
-// Says which services a key may announce. Groups of balancers count as
-// services, see balancer_group.
+// Decides which services a key may announce. Balancer groups count as services,
+// see balancer_group.
 template <class Policy>
 concept announcement_policy = requires(const Policy& policy,
                                        const key_identity& key,
@@ -22,7 +23,7 @@
         } -> std::same_as<bool>;
 };
 
-// Lets every key announce everything; for a system without keys.
+// Allows every key to announce every service, for a system without keys.
 struct open_announcement_policy
 {
     bool may_announce(const key_identity& /*key*/, service_id /*service*/) const
--- a/packages/membership/include/crowlink/membership/announcer.hpp
+++ b/packages/membership/include/crowlink/membership/announcer.hpp
@@ -13,19 +13,20 @@
 {
 
 // The incarnation of a process that starts now: milliseconds of the wall clock
-// in the upper 48 bits and random bits below. It rises over restarts without a
-// disk; where the wall clock went back, the observers' answer raises it.
+// in the upper 48 bits and random bits below. It increases over restarts
+// without persistent storage. If the wall clock was set back, the observer's
+// answer corrects it.
 incarnation first_incarnation(std::uint64_t wall_clock_ms,
                               std::uint64_t random_bits);
 
-// Announces one record, an upstream's or a balancer's, to a home observer and
-// keeps its lease. Only this process writes the record: each change raises its
-// sequence. Messages to it and time come in through handle and tick; the shell
-// calls tick at least every 100 ms.
+// Announces one record, an upstream's or a balancer's, to its home observer and
+// keeps its lease. Only this process writes the record, and each change
+// increments its sequence. Messages arrive through handle and time through
+// tick. The caller calls tick at least every 100 ms.
 class announcer
 {
 public:
-    // The record's sequence is taken as a start; the seed drives the jitter.
+    // Starts with the sequence of the record. The seed determines the jitter.
     announcer(announcer_settings settings, upstream_record first,
               std::uint64_t seed, time_point now);
 
@@ -38,24 +39,24 @@
     std::vector<membership_send> change(time_point now, upstream_state state,
                                         std::uint32_t weight);
 
-    // Other control hosts are there from now on.
+    // Replaces the set of observers.
     void set_observers(std::vector<observer_info> observers);
 
     // The record as it was last announced.
     const upstream_record& record() const { return m_record; }
 
-    // Whether the home has accepted the record as it is now.
+    // Whether the home has accepted the current record.
     bool accepted() const { return m_accepted; }
 
-    // Whether a later process took this one's identity; it then announces no
-    // more.
+    // Whether a later process has taken over this one's identity. The announcer
+    // then announces nothing more.
     bool superseded() const { return m_superseded; }
 
-    // Whether the observers refuse this process's key for the service; it is
-    // tried again with the longest wait.
+    // Whether the observers refuse this process's key for the service. The
+    // announcement is retried at the longest backoff.
     bool forbidden() const { return m_forbidden; }
 
-    // The observer that is asked at present.
+    // The observer that the record is announced to at present.
     const host_id& home() const;
 
 private:
@@ -74,7 +75,7 @@
     seeded_random m_random;
     std::vector<host_id> m_order;
     std::size_t m_home = 0;
-    // The observer that the record's sequence was last announced to.
+    // The observer to which the record was last announced.
     std::size_t m_announced_to = 0;
     bool m_announced = false;
     bool m_accepted = false;
@@ -82,7 +83,7 @@
     bool m_superseded = false;
     bool m_forbidden = false;
     bool m_waiting_answer = false;
-    // The home holds the lease, but the other observers do not hear it.
+    // The home holds the lease, but the other observers do not hear the home.
     bool m_is_home_isolated = false;
     int m_tries = 0;
     std::size_t m_failed_observers = 0;
--- a/packages/membership/include/crowlink/membership/announcer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/announcer_settings.hpp
@@ -11,22 +11,22 @@
 
 struct announcer_settings
 {
-    // Every observer; the announcer orders them by itself.
+    // Every observer. The announcer orders them itself.
     std::vector<observer_info> observers;
-    // The announcer's own region; its observers are preferred.
+    // The announcer's own region. Its observers are preferred.
     region_id region;
-    // A lease is renewed this often; it must be at most a third of
+    // The interval between renewals of a lease. It must be at most a third of
     // the observers' lease.
     duration renew_every = std::chrono::seconds(2);
-    // An observer that has not answered for this long is tried once more,
-    // then another one is asked.
+    // An observer that has not answered for this long is tried once more, then
+    // the announcer fails over to another one.
     duration answer_timeout = std::chrono::seconds(1);
-    // The first announcement is spread over this time.
+    // The first announcement is delayed by a random part of this time.
     duration start_spread = std::chrono::milliseconds(500);
-    // Waits between rounds over all observers, doubled up to the limit.
+    // Backoff between rounds over all observers, doubled up to the limit.
     duration backoff_first = std::chrono::milliseconds(500);
     duration backoff_limit = std::chrono::seconds(8);
-    // After a fail-over the first choice is tried again after this time.
+    // After a fail-over the preferred observer is tried again after this time.
     duration return_after = std::chrono::minutes(10);
 };
 
--- a/packages/membership/include/crowlink/membership/balancer_record.hpp
+++ b/packages/membership/include/crowlink/membership/balancer_record.hpp
@@ -10,14 +10,14 @@
 namespace crowlink
 {
 
-// What a balancer announces of itself, so that agents find where answers for
-// callers may go.
+// What a balancer announces about itself, so that agents know where to send
+// answers for callers.
 struct balancer_record
 {
     host_id id;
     incarnation started;
     std::uint64_t sequence = 0;
-    // Where the balancer takes answers for callers.
+    // Where the balancer accepts answers for callers.
     endpoint answers;
     place_id where;
     upstream_state state = upstream_state::ready;
@@ -26,21 +26,21 @@
                             const balancer_record&) = default;
 };
 
-// The numbers from here on are no services of a document but groups of
-// balancers, one for each place.
+// Service ids from here on denote balancer groups, one for each data centre,
+// and not services of a document.
 constexpr std::uint32_t first_balancer_group = 0x80000000U;
 
-// The group in which the balancers of a place are members.
+// The group that contains the balancers of a data centre.
 service_id balancer_group(const place_id& where);
 
-// Whether a number is a group of balancers.
+// Whether a service id denotes a balancer group.
 inline bool is_balancer_group(service_id id)
 {
     return id.value() >= first_balancer_group;
 }
 
-// A balancer as a member of its place's group: from here on balancers and
-// upstreams are leased, distributed and repaired by the same code.
+// Converts a balancer to a member of its data centre's group. Leases,
+// distribution and repair treat balancers and upstreams alike.
 upstream_record to_member(const balancer_record& record);
 
 } // namespace crowlink
--- a/packages/membership/include/crowlink/membership/change_log.hpp
+++ b/packages/membership/include/crowlink/membership/change_log.hpp
@@ -9,17 +9,18 @@
 namespace crowlink::internal
 {
 
-// One change: which item, and the number that it had as its latest change when
-// it was logged. An empty id stands for a service's declaration.
+// One change: the item, and the number of its latest change when it was logged.
+// An empty id denotes a service's declaration.
 struct logged_change
 {
     record_key key;
     std::uint64_t number = 0;
 };
 
-// The latest changes, bounded. Readers hold a position each, so that a change
-// costs the same however many nodes wait for it. An entry whose item changed
-// again later is skipped, which merges many changes of one item into one.
+// A bounded log of the latest changes. Each reader holds a position, so that
+// logging a change costs the same however many nodes lag. Readers skip an entry
+// whose item changed again later, which merges several changes of one item into
+// one.
 class change_log
 {
 public:
@@ -38,7 +39,7 @@
     // The position after the newest entry.
     std::uint64_t end() const { return m_first + m_entries.size(); }
 
-    // Whether the entry at a position is no longer held.
+    // Whether the entry at a position has been dropped.
     bool lost(std::uint64_t position) const { return position < m_first; }
 
     const logged_change& at(std::uint64_t position) const
--- a/packages/membership/include/crowlink/membership/expired_lease.hpp
+++ b/packages/membership/include/crowlink/membership/expired_lease.hpp
@@ -8,12 +8,12 @@
 namespace crowlink
 {
 
-// An observer's decision that a member is not heard any more.
+// An observer's decision that the lease of a member has expired.
 struct expired_lease
 {
     service_id service;
     upstream_id id;
-    // The observer that held the lease, and how long it has been in doubt.
+    // The observer that held the lease, and how long the member was suspected.
     host_id home;
     duration doubted_for{};
 
--- a/packages/membership/include/crowlink/membership/interest.hpp
+++ b/packages/membership/include/crowlink/membership/interest.hpp
@@ -8,14 +8,14 @@
 namespace crowlink
 {
 
-// What a node wants to know. A balancer usually wants all services; an agent
-// its own service and the balancers of its place.
+// What a node subscribes to. A balancer usually subscribes to all services, an
+// agent to its own service and the balancers of its data centre.
 struct interest
 {
     bool all_services = false;
-    // Sorted, without doubles; ignored where all_services is set.
+    // Sorted, without duplicates; ignored if all_services is set.
     std::vector<service_id> services;
-    // Places whose balancers the node wants to know, sorted.
+    // Data centres whose balancers the node subscribes to, sorted.
     std::vector<place_id> balancers_in;
 
     friend auto operator<=>(const interest&, const interest&) = default;
--- a/packages/membership/include/crowlink/membership/lost_member.hpp
+++ b/packages/membership/include/crowlink/membership/lost_member.hpp
@@ -8,27 +8,28 @@
 namespace crowlink
 {
 
-// Why a node takes a member for one that is not there.
+// Why a node considers a member lost.
 enum class loss_reason : std::uint8_t
 {
-    // By its own word.
+    // Its end was announced.
     ended,
-    // Its lease ran out: it may live on.
+    // Its lease expired; the member may still be alive.
     lease_expired,
-    // The publisher's snapshots did not name it for long.
+    // The publisher's snapshots have lacked it for too long.
     absent,
 };
 
-// The word for it in logs.
+// The name of the reason in logs.
 const char* to_string(loss_reason reason);
 
-// A node's decision that a member is not there any more.
+// A node's decision that a member is lost.
 struct lost_member
 {
     service_id service;
     upstream_id id;
     loss_reason reason = loss_reason::ended;
-    // The sequence of the record as it was known, and of the word of its end.
+    // The sequence of the record as it was known, and of the record that
+    // reported its end.
     std::uint64_t known_sequence = 0;
     std::uint64_t told_sequence = 0;
 
--- a/packages/membership/include/crowlink/membership/membership_host.hpp
+++ b/packages/membership/include/crowlink/membership/membership_host.hpp
@@ -9,8 +9,8 @@
 namespace crowlink
 {
 
-// An observer and a publisher as they sit together in a control host: what the
-// observer learns is published.
+// An observer and a publisher combined in a control host. The changes that the
+// observer learns of are published.
 class membership_host
 {
 public:
@@ -21,7 +21,8 @@
                                         const wire::membership_message& in);
     std::vector<membership_send> tick(time_point now);
 
-    // For messages that came through an announcement_gate.
+    // Publishes and returns the output for a message that came through an
+    // announcement_gate.
     std::vector<membership_send> take(time_point now, observer_output out);
 
     void document_changed(config_version version, const system_document& next)
@@ -35,7 +36,7 @@
         m_publisher.evacuations_changed(revision, std::move(evacuated));
     }
 
-    // All control hosts, this one included.
+    // All control hosts, including this one.
     void set_control_hosts(time_point now,
                            const std::vector<observer_info>& hosts);
 
--- a/packages/membership/include/crowlink/membership/membership_send.hpp
+++ b/packages/membership/include/crowlink/membership/membership_send.hpp
@@ -7,14 +7,14 @@
 namespace crowlink
 {
 
-// A message that a core wants sent, and to whom.
+// A message to send and its recipient.
 struct membership_send
 {
     host_id to;
     wire::membership_message message;
 };
 
-// The bytes that a message is counted with: its encoding and the framing of
+// The size in bytes that a message counts with: its encoding and the framing of
 // the transport (ZeroMQ with CURVE over TCP).
 std::size_t wire_size(const wire::membership_message& message);
 
--- a/packages/membership/include/crowlink/membership/observed_record.hpp
+++ b/packages/membership/include/crowlink/membership/observed_record.hpp
@@ -8,19 +8,19 @@
 namespace crowlink::internal
 {
 
-// A record as an observer holds it.
+// A record as held by an observer.
 struct observed_record
 {
     upstream_record record;
     // The observer that holds its lease.
     host_id home;
-    // Of version, content and home; zero while gone.
+    // The hash of version, content and home; zero while gone.
     std::uint64_t hash = 0;
     // Its bucket in digests.
     std::uint8_t bucket = 0;
     // Set at the home only.
     time_point lease_until{};
-    // Since when it is silent; meaningful while suspect.
+    // When its silence began; meaningful while suspect.
     time_point suspect_since{};
     time_point gone_at{};
     bool suspect = false;
--- a/packages/membership/include/crowlink/membership/observer.hpp
+++ b/packages/membership/include/crowlink/membership/observer.hpp
@@ -24,30 +24,30 @@
 namespace crowlink
 {
 
-// Holds the newest record of every upstream and balancer as soft state, and
-// the leases of those whose home it is. Only changes flow between observers;
-// digests repair what was missed. A record merges by its version, so that
-// order and duplication do not matter; a gone record wins over a living one of
-// the same version.
+// Holds the newest record of every upstream and balancer as soft state, and the
+// leases of those whose home it is. Observers send each other only changes, and
+// digests repair what was missed. A record merges by its version, so that order
+// and duplication do not matter. A gone record wins over a living one of the
+// same version.
 //
-// Silence is judged before it is believed: see docs/design/membership.md.
-// The shell calls tick about every 100 ms.
+// Silence leads to expiry only after the checks described in
+// docs/design/membership.md. The caller calls tick about every 100 ms.
 class observer
 {
 public:
     observer(observer_settings settings, time_point now);
 
-    // Takes a message of an announcer or of another observer; others are
+    // Handles a message of an announcer or of another observer; others are
     // ignored.
     observer_output handle(time_point now, const host_id& from,
                            const wire::membership_message& in);
 
     observer_output tick(time_point now);
 
-    // Other observers are there from now on.
+    // Replaces the set of peers.
     void set_peers(time_point now, std::vector<observer_info> peers);
 
-    // Whether it knows enough to publish.
+    // Whether its records are complete enough to publish.
     bool ready() const { return m_ready; }
 
     // Records that are not gone.
@@ -57,15 +57,14 @@
     const upstream_record* find(service_id service,
                                 const upstream_id& id) const;
 
-    // Places that are held to be lost.
+    // Data centres that are considered lost.
     const std::set<place_id>& lost_places() const { return m_lost_places; }
 
-    // Regions that are cut off, with the age of what is known of them.
+    // Regions that are cut off, with the age of their records.
     std::vector<region_age> cut_regions(time_point now) const;
 
     const metrics& counters() const { return m_metrics; }
-    // The leases that were judged to have run out since the last call; at most
-    // 256 of them.
+    // Returns the leases that expired since the last call; at most 256 of them.
     std::vector<expired_lease> take_expired()
     {
         return std::exchange(m_expired, {});
@@ -76,22 +75,22 @@
     struct place_count
     {
         std::size_t living = 0;
-        // Silent, whether judged or still within a grace period.
+        // Silent, including those within a grace period.
         std::size_t silent = 0;
-        // Silent for long enough to be acted on.
+        // Silent for long enough to be expired.
         std::size_t settled = 0;
         std::size_t own = 0;
         std::size_t own_silent = 0;
     };
-    // What holds for all records of one home during one judgement.
+    // The status common to all records of one home during one evaluation.
     struct home_status
     {
         bool own = false;
-        // Its region is cut off: its records are kept as they are.
+        // Its region is cut off, so its records are kept unchanged.
         bool cut = false;
         bool silent = false;
-        // Silent for longer than its announcers need to find a new home, or
-        // cut off for longer than records are kept.
+        // Silent for longer than its announcers need to find a new home, or cut
+        // off for longer than records are kept.
         bool orphaned = false;
         std::size_t population = 0;
         std::size_t expired_in_window = 0;
@@ -141,7 +140,7 @@
     void expire_silent(time_point now, observer_output& out);
     void note_agent(const upstream_record& before,
                     const upstream_record& after);
-    // Takes a record that is removed out of what else is kept of it.
+    // Removes a record from the indexes and sums beside the table.
     void forget(const upstream_record& record);
     void forget_agent(const upstream_record& record);
     void note_expired(time_point now, const internal::observed_record& held);
@@ -157,13 +156,14 @@
     internal::peer_board m_peers;
     table m_records;
     // For each agent the living record that was stored last, or one whose lease
-    // ran out; there may be others, of former upstreams.
+    // expired. Other records of the agent belong to former upstreams.
     std::map<endpoint, internal::record_key> m_at_agent;
     internal::digest_book m_book;
-    // A sum over the records whose lease ran out, which the book leaves out.
+    // The sum of hashes of the records whose lease expired, which the digests
+    // leave out.
     std::uint64_t m_expired_digest = 0;
     std::size_t m_living = 0;
-    // Own changes that the peers must still hear.
+    // Own changes that were not sent to the peers yet.
     std::set<internal::record_key> m_unsent;
     std::map<host_id, home_status> m_homes;
     std::map<place_id, place_count> m_counts;
@@ -178,11 +178,11 @@
     time_point m_next_heartbeat;
     time_point m_next_digest;
     time_point m_next_question;
-    // Peers that have just started as well, and hold the same records.
+    // Peers that have just started as well and hold the same records.
     std::set<host_id> m_agreeing;
     time_point m_next_judgement;
     bool m_ready = false;
-    // The silence seems to be this host's own.
+    // Expiry is suspended, since the silence is probably this host's own fault.
     bool m_held_back = false;
     metrics m_metrics;
     std::vector<expired_lease> m_expired;
--- a/packages/membership/include/crowlink/membership/observer_info.hpp
+++ b/packages/membership/include/crowlink/membership/observer_info.hpp
@@ -7,7 +7,7 @@
 namespace crowlink
 {
 
-// A control host that runs an observer and a publisher, by settings.
+// A control host that runs an observer and a publisher, as configured.
 struct observer_info
 {
     host_id id;
--- a/packages/membership/include/crowlink/membership/observer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/observer_settings.hpp
@@ -16,51 +16,55 @@
     // The other observers.
     std::vector<observer_info> peers;
     duration lease = std::chrono::seconds(6);
-    // The wait before leases that ran out are acted on, so that what fails
-    // together is judged together. It must exceed the announcers' renewal
-    // interval.
+    // The delay between the end of a lease and its expiry, so that failures
+    // that happen together are evaluated together. It must exceed the
+    // announcers' renewal interval.
     duration settle = std::chrono::milliseconds(2500);
     duration heartbeat_every = std::chrono::seconds(1);
-    // One peer, in turn, is sent a digest this often.
+    // The interval between digests. The peers are sent one in turn.
     duration digest_every = std::chrono::seconds(1);
-    // One that has just started asks every peer for a digest this often. Until
-    // a digest equals its own it may not publish, so that after a restart of
-    // all every node waits for this. One is 1 KB.
+    // The interval at which an observer that has just started asks every peer
+    // for a digest. It may not publish until a digest equals its own, so after
+    // a restart of all observers every node waits for this. A digest takes 1
+    // KB.
     duration start_digest_every = std::chrono::milliseconds(100);
-    // A peer that nobody heard for this long is held to be dead.
+    // A peer that no observer heard for this long counts as failed.
     duration peer_timeout = std::chrono::seconds(5);
-    // The time that announcers have to find a new home when theirs died, or to
-    // come back after this host or their place was cut off. It must exceed the
-    // announcers' longest wait.
+    // The time that announcers have to find a new home when theirs has failed,
+    // or to come back after this host or their data centre was cut off. It must
+    // exceed the announcers' longest backoff.
     duration orphan_grace = std::chrono::seconds(20);
-    // Records of a region that is cut off, or of a lost place, are kept for
-    // this long. It must be shorter than tombstone_life.
+    // How long the records of a region that is cut off, or of a lost data
+    // centre, are kept. It must be shorter than tombstone_life.
     duration keep_unreachable = std::chrono::minutes(90);
-    // A gone record is remembered for this long, so that it can not return.
+    // How long a gone record is remembered, so that it can not return.
     duration tombstone_life = std::chrono::hours(3);
-    // A place is lost when this share of its members is, and at least so many.
+    // A data centre is lost if this share of its members is silent, provided
+    // that it has at least place_members members.
     double place_share = 0.9;
     std::size_t place_members = 8;
-    // Without confirmation, at most this share of one home's records, and at
-    // least expiry_least, is expired within expiry_window.
+    // Without confirmation at most this share of one home's records, or
+    // expiry_least records if that is more, expires within expiry_window.
     double expiry_share = 0.1;
     std::size_t expiry_least = 2;
     duration expiry_window = std::chrono::seconds(10);
-    // What goes beyond is confirmed by staying away for this long while the
-    // at least half of the own region's observers are heard.
+    // Records beyond that limit expire once they have stayed silent for this
+    // long while at least half of the own region's observers are heard.
     duration confirm_after = std::chrono::seconds(10);
-    // A home that reports a place as lost gives the others this long to agree.
+    // When a home reports a data centre as lost, the other homes have this long
+    // to report it as well.
     duration report_wait = std::chrono::seconds(4);
     duration judge_every = std::chrono::milliseconds(500);
-    // A started observer may publish once the digest of a peer that may, or
-    // those of most others that have started too, equalled its own, or after
-    // this time if it heard no peer at all.
+    // A started observer may publish once its digest equals that of a peer that
+    // may publish, or those of a majority together with peers that have also
+    // just started. It may also publish after this time if it heard no peer at
+    // all.
     duration start_grace = std::chrono::seconds(10);
-    // The most records in one message to a peer, and the most messages that
-    // answer one digest.
+    // The most records in one message to a peer, and the most messages in the
+    // reply to one digest.
     std::size_t records_a_message = 512;
     std::size_t messages_a_digest = 16;
-    // The most records that are held, gone ones included.
+    // The most records that are held, including gone ones.
     std::size_t record_capacity = 200000;
 };
 
--- a/packages/membership/include/crowlink/membership/peer_board.hpp
+++ b/packages/membership/include/crowlink/membership/peer_board.hpp
@@ -11,45 +11,46 @@
 namespace crowlink::internal
 {
 
-// What an observer knows of the other observers: when each was heard, by
-// itself or by one that it hears, and which places each reports as lost.
+// Tracks the liveness of the other observers: when each was last heard,
+// directly or by an observer that is heard, and which data centres each reports
+// as lost.
 class peer_board
 {
 public:
     peer_board(const observer_settings& settings, time_point now);
 
-    // Other observers are there from now on; a new one counts as heard.
+    // Replaces the set of peers. A new one counts as just heard.
     void keep(time_point now, const std::vector<observer_info>& peers);
 
     bool known(const host_id& peer) const { return m_peers.count(peer) != 0; }
 
-    // Takes in a peer's heartbeat; lists are bounded by what is known.
+    // Applies a peer's heartbeat. Unknown observers in its list are ignored.
     void heard(time_point now, const host_id& from,
                const std::vector<host_id>& heard_by_it,
                std::set<place_id> lost_places);
 
-    // Whether neither this observer nor one that it hears heard the peer
-    // within the time. The own observer is never silent.
+    // Whether neither this observer nor an observer that it hears has heard the
+    // peer within the time. This observer itself is never silent.
     bool silent(time_point now, const host_id& peer, duration time) const;
 
-    // Whether this observer itself did not hear the peer within the timeout.
+    // Whether this observer did not hear the peer directly within the timeout.
     bool silent_directly(time_point now, const host_id& peer) const;
 
-    // Whether every observer of the peer's region is silent, and the region is
-    // not the own one.
+    // Whether every observer of the peer's region is silent, for regions other
+    // than the own one.
     bool region_cut(time_point now, const host_id& peer) const;
 
-    // When anything of the peer's region was heard last.
+    // When any observer of the peer's region was last heard.
     time_point region_heard(const host_id& peer) const;
 
     bool reports_lost(const host_id& peer, const place_id& where) const;
 
-    // Whether at least half of the own region's observers, this one included,
+    // Whether at least half of the own region's observers, including this one,
     // are heard.
     bool own_region_heard(time_point now) const;
 
-    // Whether fewer than half of the own region's observers, this one
-    // included, have said within the timeout that they hear this one.
+    // Whether fewer than half of the own region's observers, including this
+    // one, have confirmed within the timeout that they hear this one.
     bool isolated(time_point now) const;
 
     // Whether another observer of the own region is heard directly.
@@ -62,7 +63,8 @@
 
     std::vector<region_age> cut_regions(time_point now) const;
 
-    // After a pause of the own process the silence of others means nothing.
+    // Restarts the indirect timeouts. After a pause of the own process the
+    // silence of others shows nothing.
     void forgive(time_point now);
 
 private:
@@ -71,7 +73,7 @@
         observer_info info;
         time_point direct{};
         time_point indirect{};
-        // When it last said that it hears this observer.
+        // When its heartbeat last listed this observer as heard.
         time_point hears_this{};
         std::set<place_id> lost_places;
     };
--- a/packages/membership/include/crowlink/membership/place_change.hpp
+++ b/packages/membership/include/crowlink/membership/place_change.hpp
@@ -7,7 +7,7 @@
 namespace crowlink
 {
 
-// A whole place was lost or is back: one change for all of its members.
+// A data centre was lost or has returned: one change for all of its members.
 struct place_change
 {
     place_id where;
--- a/packages/membership/include/crowlink/membership/place_watch.hpp
+++ b/packages/membership/include/crowlink/membership/place_watch.hpp
@@ -16,35 +16,35 @@
 
 struct place_watch_settings
 {
-    // Between two probes of one data centre, while it answers.
+    // The interval between two probes of one data centre while it answers.
     duration probe_every = std::chrono::milliseconds(100);
-    // Probes that one host sends in a second, however many data centres there
-    // are; beyond it they take turns.
+    // The most probes that one host sends per second, however many data centres
+    // there are. Beyond it the data centres are probed in turn.
     std::uint32_t probes_per_second = 20;
-    // An answer needs two crossings and two turns of busy processes.
+    // A round trip plus two scheduling delays in busy processes.
     duration answer_within = std::chrono::milliseconds(100);
-    // So many probes to different hosts, all in vain after a first one, prove
-    // that the data centre and not a host of it is silent.
+    // This many unanswered probes to different hosts after a first one show
+    // that the data centre, and not a single host in it, is unreachable.
     std::uint32_t confirmations = 5;
-    // After so many more in vain, one after the other, the flows there are
-    // given up: hosts that were all stopped for a moment would be back.
+    // After this many further unanswered probes in a row the flows to the data
+    // centre are given up. Hosts that were all stopped only briefly answer
+    // again by then.
     std::uint32_t patience = 3;
 };
 
-// A probe to send.
 struct place_probe
 {
     endpoint to;
     std::uint32_t number = 0;
 };
 
-// Whether this host reaches the other data centres, by what it sees itself:
-// leases and reports of others tell it seconds later. Without I/O; the shell
-// sends the probes and tells of answers.
+// Detects whether this host reaches the other data centres from its own probes,
+// since leases and reports of other hosts show it only seconds later. It does
+// no I/O: the caller sends the probes and reports the answers.
 //
 //   watch.set_hosts({{place_id("pasig"), {agent, another}}});
 //   for (const place_probe& each : watch.tick(now)) send(each);
-//   watch.answered(now, number);
+//   watch.answered(number);
 class place_watch
 {
 public:
@@ -55,19 +55,19 @@
     {
     }
 
-    // The hosts that can be asked, by data centre; this host's own one must not
-    // be among them.
+    // The hosts that can be probed, by data centre. The own data centre must
+    // not be among them.
     void set_hosts(const hosts_type& hosts);
 
-    // To be called a few times in the time that an answer takes, and after the
-    // answers that came until now were told.
+    // Returns the probes to send. Must be called several times per answer
+    // timeout, after the answers received so far were reported.
     std::vector<place_probe> tick(time_point now);
 
     void answered(std::uint32_t number);
 
-    // Data centres none of whose hosts answers.
+    // The data centres of which no host answers.
     const std::set<place_id>& unreachable() const { return m_unreachable; }
-    // Those of them that have been so for some time.
+    // The unreachable data centres whose flows are given up.
     const std::set<place_id>& given_up() const { return m_given_up; }
 
 private:
@@ -81,7 +81,7 @@
         std::vector<endpoint> hosts;
         std::size_t next_host = 0;
         std::deque<sent_probe> unanswered;
-        // Probes in vain since the last answer.
+        // Unanswered probes since the last answer.
         std::uint32_t missed = 0;
         bool is_confirming = false;
         time_point next_probe{};
--- a/packages/membership/include/crowlink/membership/published_state.hpp
+++ b/packages/membership/include/crowlink/membership/published_state.hpp
@@ -15,7 +15,7 @@
 namespace crowlink::internal
 {
 
-// A record as nodes should know it.
+// A record as it is published to nodes.
 struct published_record
 {
     upstream_record record;
@@ -25,7 +25,7 @@
     std::uint64_t change = 0;
 };
 
-// A service's declaration as nodes should know it.
+// A service's declaration as it is published to nodes.
 struct published_service
 {
     service declared;
@@ -34,8 +34,8 @@
     std::uint64_t change = 0;
 };
 
-// Everything that a publisher knows, with the latest changes in two logs:
-// urgent ones (declarations, drains, members that leave) go first.
+// The state that a publisher distributes, with the latest changes in two logs.
+// Urgent changes (declarations, drains, members that leave) are sent first.
 class published_state
 {
 public:
@@ -44,7 +44,7 @@
     // Ignores a version that is not newer.
     void set_document(config_version version, const system_document& next);
     void set_record(time_point now, const upstream_record& record);
-    // Drops gone records past their life.
+    // Drops gone records that are older than the tombstone life.
     void purge(time_point now);
 
     config_version version() const { return m_version; }
--- a/packages/membership/include/crowlink/membership/publisher.hpp
+++ b/packages/membership/include/crowlink/membership/publisher.hpp
@@ -17,36 +17,37 @@
 namespace crowlink
 {
 
-// Sends each attached node what it wants to know of the document and of the
-// members, paced in bytes for each node, and merges what waits. It sits beside
-// an observer and a holder of the document, which tell it what changed.
-// The shell calls tick about every 100 ms.
+// Streams to each attached node the parts of the document and the members that
+// it subscribes to. The bytes per node are paced and pending changes of one
+// item are merged. It sits beside an observer and the replica of the document,
+// which report changes to it. The caller calls tick about every 100 ms.
 class publisher
 {
 public:
     publisher(publisher_settings settings, std::uint64_t seed);
 
-    // Ignores a version that is not newer than the one it has.
+    // Ignores a version that is not newer than the one held.
     void document_changed(config_version version, const system_document& next);
     void record_changed(time_point now, const upstream_record& record);
     void place_changed(const place_change& change);
-    // The data centres whose upstreams get nothing new. Ignores a revision that
-    // is not higher than the one it has.
+    // The data centres whose upstreams get no new flows. Ignores a revision
+    // that is not higher than the one held.
     void evacuations_changed(std::uint64_t revision,
                              std::set<place_id> evacuated);
 
-    // All control hosts, this one included; nodes are told.
+    // All control hosts, including this one. Nodes are informed.
     void set_control_hosts(std::vector<host_id> hosts);
 
-    // How old the document and the cut regions' records may be; nodes are told
-    // with the next digest.
+    // The possible age of the document and of the records of regions that are
+    // cut off. Nodes are informed with the next digest.
     void set_document_age(duration age) { m_document_age = age; }
     void set_cut_regions(std::vector<region_age> ages);
 
-    // Until it is ready, a publisher that has a document keeps nodes waiting.
+    // Until it is ready, a publisher that has a document keeps the requests of
+    // nodes without serving them.
     void set_ready(bool ready) { m_ready = ready; }
 
-    // Takes a message of a subscriber; others are ignored.
+    // Handles a message of a subscriber; others are ignored.
     std::vector<membership_send> handle(time_point now, const host_id& from,
                                         const wire::membership_message& in);
 
@@ -54,14 +55,15 @@
 
     config_version version() const { return m_state.version(); }
     std::size_t nodes() const { return m_sessions.size(); }
-    // Nodes that asked and may not be served yet.
+    // Nodes whose requests are kept until they may be served.
     std::size_t waiting() const { return m_waiting.size(); }
-    // Whether a node that starts anew may be told what is in force.
+    // Whether a node without a document may be served: the publisher is ready
+    // and its document was confirmed recently enough.
     bool is_sure() const
     {
         return m_ready && m_document_age <= m_settings.stale_after;
     }
-    // What it knows of the document and of the members.
+    // The published document and members.
     const internal::published_state& state() const { return m_state; }
 
     // The bytes sent to a node since it attached.
@@ -70,7 +72,7 @@
 private:
     using session_map = std::map<host_id, internal::publisher_session>;
 
-    // What a node asked for, and when.
+    // A kept request of a node.
     struct waiting_node
     {
         wire::attach wanted;
--- a/packages/membership/include/crowlink/membership/publisher_session.hpp
+++ b/packages/membership/include/crowlink/membership/publisher_session.hpp
@@ -12,20 +12,20 @@
 namespace crowlink::internal
 {
 
-// The services and groups of balancers that a node wants.
+// The services and balancer groups that a node subscribes to.
 struct selection
 {
     bool all_services = false;
     std::set<service_id> services;
 
     bool holds(service_id service) const;
-    // The next wanted number at or after this one, as far as the selection
+    // The next subscribed id at or after this one, as far as the selection
     // alone can tell.
     service_id next(service_id from) const;
 };
 
-// How far a snapshot has come. It walks the services in order, each one's
-// declaration first, and reads what is current when it gets there.
+// The progress of a snapshot. It walks the services in order, each one's
+// declaration first, and reads the state that is current when it gets there.
 struct snapshot_cursor
 {
     bool active = false;
@@ -35,7 +35,8 @@
     record_key next;
 };
 
-// One node's stream: constant memory, whatever waits for it.
+// The stream of one node. Its memory is constant, however many changes are
+// pending.
 struct publisher_session
 {
     selection wants;
@@ -45,7 +46,7 @@
     std::uint64_t urgent = 0;
     std::uint64_t ordinary = 0;
     snapshot_cursor snapshot;
-    // The version that the node was told to be complete.
+    // The version that was reported to the node as complete.
     std::uint64_t complete_version = 0;
     bool places_due = true;
     bool evacuations_due = true;
--- a/packages/membership/include/crowlink/membership/record_key.hpp
+++ b/packages/membership/include/crowlink/membership/record_key.hpp
@@ -8,7 +8,7 @@
 namespace crowlink::internal
 {
 
-// Names a record: its service or group of balancers, and its id.
+// Identifies a record by its service or balancer group and its id.
 struct record_key
 {
     service_id service;
--- a/packages/membership/include/crowlink/membership/staleness.hpp
+++ b/packages/membership/include/crowlink/membership/staleness.hpp
@@ -9,12 +9,12 @@
 namespace crowlink
 {
 
-// How old a node's knowledge may be.
+// The possible age of what a node knows.
 struct staleness
 {
-    // Since the publisher last knew its document to be the newest.
+    // Time since the publisher last confirmed that its document is the newest.
     duration document{};
-    // Since the node last heard its publisher.
+    // Time since the node last heard its publisher.
     duration publisher{};
     std::vector<region_age> regions;
 
--- a/packages/membership/include/crowlink/membership/subscribed_state.hpp
+++ b/packages/membership/include/crowlink/membership/subscribed_state.hpp
@@ -17,27 +17,27 @@
 namespace crowlink::internal
 {
 
-// A record as a node knows it.
+// A record as held by a node.
 struct subscribed_record
 {
     upstream_record record;
     bool drained = false;
-    // The document's version that the drain mark is from.
+    // The version of the document that the drain mark comes from.
     std::uint64_t drain_version = 0;
     std::uint64_t hash = 0;
-    // The stream that confirmed it last.
+    // The stream that contained it last.
     std::uint32_t generation = 0;
-    // What it was before its lease ran out, where it did not end by its own
-    // word.
+    // The record before its lease expired. Not set if its end was announced.
     std::optional<upstream_record> silent;
-    // A publisher's snapshot did not name it, first at this time.
+    // When a publisher's snapshot first lacked it.
     std::optional<time_point> absent_since;
-    // It is gone only because it stayed absent: the same version may return.
+    // It is gone only because snapshots lacked it, so the same version may
+    // return.
     bool forgotten = false;
     time_point gone_at{};
 };
 
-// A service's declaration as a node knows it.
+// A service's declaration as held by a node.
 struct subscribed_service
 {
     service declared;
@@ -47,40 +47,41 @@
     std::uint32_t generation = 0;
 };
 
-// What a node knows. Nothing in it is replaced by an older version.
+// The state held by a node. Nothing in it is replaced by an older version.
 class subscribed_state
 {
 public:
-    // Each yields whether the node's views change by it.
+    // Each returns whether the views of this node change.
     bool take_record(time_point now, const upstream_record& record,
                      bool drained, std::uint64_t version,
                      std::uint32_t generation);
     bool take_service(const service& declared, bool removed,
                       std::uint64_t version, std::uint32_t generation);
     bool set_lost_places(std::set<place_id> lost);
-    // The data centres that this host itself does not reach, and those of them
-    // whose flows it gives up.
+    // The data centres that this host does not reach itself, and those of them
+    // whose flows are given up.
     bool set_unreachable(std::set<place_id> unreachable,
                          std::set<place_id> given_up);
-    // Ignores a revision that is lower than the one it has.
+    // Ignores a revision that is lower than the one held.
     bool set_evacuated(std::uint64_t revision, std::set<place_id> evacuated);
 
-    // The version of the document that is in force as a whole: nothing that an
-    // older document says is taken in from now on.
+    // Sets the version of the document that is completely applied. Content of
+    // older documents is ignored from then on.
     void set_floor(std::uint64_t version) { m_floor = version; }
 
-    // Handles what a snapshot of these buckets did not name.
+    // Handles the items in the covered buckets that the snapshot did not
+    // contain.
     void sweep(time_point now, std::uint64_t version, std::uint32_t generation,
                const std::bitset<digest_book::bucket_count>& covered);
 
-    // Drops gone records past their life, and services that were removed.
+    // Drops gone records older than the given life, and removed services.
     void purge(time_point now, duration life);
 
-    // The services whose views changed since the last call.
+    // Returns the services whose views changed since the last call.
     std::set<service_id> take_touched();
 
-    // The members that were found not to be there any more since the last
-    // call; at most 256 of them.
+    // Returns the members that were removed, or whose lease was found to have
+    // expired, since the last call; at most 256 of them.
     std::vector<lost_member> take_lost() { return std::exchange(m_lost, {}); }
 
     std::optional<service_view> view(service_id id) const;
--- a/packages/membership/include/crowlink/membership/subscriber.hpp
+++ b/packages/membership/include/crowlink/membership/subscriber.hpp
@@ -14,10 +14,11 @@
 namespace crowlink
 {
 
-// A node's side of distribution: attaches to one publisher at a time, takes in
-// its stream, finds gaps by sequence and digest, and goes to another publisher
-// when the present one is silent or behind. What it holds only rises, whoever
-// serves it. The shell calls tick about every 100 ms.
+// The receiving side of distribution, in a node. It attaches to one publisher
+// at a time, applies its stream, detects gaps by sequence numbers and digests,
+// and fails over to another publisher if the current one is silent or behind.
+// Versions held only increase, whichever publisher serves them. The caller
+// calls tick about every 100 ms.
 class subscriber
 {
 public:
@@ -29,47 +30,48 @@
 
     subscriber_output tick(time_point now);
 
-    // The data centres that this host itself does not reach: their upstreams
-    // are silent for it, whatever control says. Of those that are given up the
-    // flows are, too.
+    // Sets the data centres that this host does not reach itself. Their
+    // upstreams count as silent here, whatever the control hosts report. The
+    // flows to those in given_up are given up, too.
     subscriber_output set_unreachable(std::set<place_id> unreachable,
                                       std::set<place_id> given_up);
 
-    // Other control hosts are there from now on.
+    // Replaces the set of control hosts.
     void set_publishers(time_point now, std::vector<observer_info> publishers);
 
-    // The connection to a control host broke or was refused. If it is the one
-    // that is asked, another one is asked soon, without waiting for silence.
+    // Reports that the connection to a control host broke or was refused. If it
+    // is the current publisher, the subscriber fails over without waiting for
+    // the silence timeout.
     void connection_lost(time_point now, const host_id& publisher);
-    // There is a connection again to one that was lost. A node that nobody
-    // serves asks there at once.
+    // Reports that a lost connection is back. A node without a publisher
+    // attaches at once.
     void connection_made(time_point now, const host_id& publisher);
 
-    // The newest version of the document that is in force here as a whole.
+    // The newest version of the document that is completely applied here.
     config_version applied_version() const { return m_applied; }
 
-    // A service as it is known now; nothing if it is not declared.
+    // The current view of a service, or nothing if it is not declared.
     std::optional<service_view> view(service_id id) const
     {
         return m_state.view(id);
     }
 
-    // The declared services that are known.
+    // The services that are known and declared.
     std::vector<service_id> services() const;
 
     staleness age(time_point now) const;
 
-    // The publisher that is asked at present.
+    // The publisher that is attached to or asked at present.
     const host_id& source() const;
     bool attached() const { return m_phase == phase::attached; }
 
-    // Snapshots that were taken in to their end.
+    // The number of snapshots received completely.
     std::uint64_t snapshots() const { return m_snapshots; }
     // Bytes received and sent, framing included.
     std::uint64_t bytes() const { return m_bytes; }
     const internal::subscribed_state& state() const { return m_state; }
-    // The members that were found not to be there any more since the last
-    // call.
+    // Returns the members that were removed, or whose lease was found to have
+    // expired, since the last call.
     std::vector<lost_member> take_lost() { return m_state.take_lost(); }
 
 private:
@@ -104,26 +106,27 @@
     subscriber_settings m_settings;
     seeded_random m_random;
     std::vector<host_id> m_order;
-    // Wanted services and groups beside those of all_services.
+    // Subscribed services and balancer groups beside those of all_services.
     std::set<service_id> m_listed;
     internal::subscribed_state m_state;
     std::set<service_id> m_pending;
-    // The control hosts that the stream named last, if it did since they were
-    // given out.
+    // The control hosts that the stream named last, if it named any since they
+    // were last put into an output.
     std::optional<std::vector<host_id>> m_control_hosts;
     std::size_t m_source = 0;
-    // Those that there is no connection to.
+    // Control hosts without a connection.
     std::set<host_id> m_lost;
-    // Those that a control host, or one that knows some, named last.
+    // Control hosts named in the last list from a control host or from a host
+    // that knows some.
     std::set<host_id> m_named;
-    // Publishers that refused one after the other, since the last wait.
+    // Consecutive refusals by publishers since the last backoff.
     std::size_t m_refusals = 0;
     phase m_phase = phase::waiting;
     std::uint32_t m_stream = 0;
     std::uint32_t m_sequence = 0;
     std::uint32_t m_filling = 0;
     config_version m_applied;
-    // The highest version that was heard of, applied or not.
+    // The highest version seen, applied or not.
     std::uint64_t m_highest = 0;
     std::optional<time_point> m_behind_since;
     duration m_backoff;
@@ -132,7 +135,8 @@
     time_point m_next_purge;
     time_point m_heard;
     duration m_document_age{};
-    // Before this no publisher is left for being stale.
+    // The earliest time at which a publisher is left again because its document
+    // is stale.
     time_point m_next_rotation;
     std::vector<region_age> m_cut_regions;
     std::uint64_t m_snapshots = 0;
--- a/packages/membership/include/crowlink/membership/subscriber_output.hpp
+++ b/packages/membership/include/crowlink/membership/subscriber_output.hpp
@@ -9,7 +9,7 @@
 namespace crowlink
 {
 
-// What one step of a subscriber yields.
+// The result of one step of a subscriber.
 struct subscriber_output
 {
     std::vector<membership_send> sends;
--- a/packages/membership/include/crowlink/membership/token_bucket.hpp
+++ b/packages/membership/include/crowlink/membership/token_bucket.hpp
@@ -8,7 +8,8 @@
 namespace crowlink::internal
 {
 
-// Paces bytes: at most `rate` a second on average and `burst` at once.
+// Limits the rate of bytes: at most `rate` per second on average and `burst` at
+// once.
 class token_bucket
 {
 public:
--- a/packages/membership/src/announcer.cpp
+++ b/packages/membership/src/announcer.cpp
@@ -58,7 +58,8 @@
     const bool moved = m_order.empty() || home() != before;
     if (moved)
     {
-        // The home is no control host any more: another one is asked at once.
+        // The home is no longer a control host; another observer is asked at
+        // once.
         m_announced = false;
         m_waiting_answer = false;
         m_accepted = false;
@@ -106,7 +107,7 @@
             m_superseded = true;
             return {};
         }
-        // The wall clock went back since the last start.
+        // The wall clock was set back since the last start.
         m_record.started = incarnation(in.newest_started() + 1);
         return announce(now);
     case wire::ANNOUNCEMENT_FORBIDDEN:
@@ -166,7 +167,7 @@
 
 std::vector<membership_send> announcer::announce(time_point now)
 {
-    // The record names its home, so that a new home makes it a new version.
+    // The record contains its home, so a new home needs a new version.
     if (m_announced && m_announced_to != m_home)
     {
         ++m_record.sequence;
--- a/packages/membership/src/change_batch.hpp
+++ b/packages/membership/src/change_batch.hpp
@@ -10,7 +10,7 @@
 namespace crowlink::internal
 {
 
-// Collects records for other observers into messages of a bounded size.
+// Collects records for other observers into messages of bounded size.
 class change_batch
 {
 public:
--- a/packages/membership/src/member_codec.hpp
+++ b/packages/membership/src/member_codec.hpp
@@ -15,21 +15,23 @@
 
 using name_list = google::protobuf::RepeatedPtrField<std::string>;
 
-// The index of a name in a message's list, which it joins if it is new.
+// Returns the index of a name in a message's list and appends the name if it is
+// missing.
 std::uint32_t index_of(name_list& names, const std::string& name);
 
-// Writes a record; a gone one is reduced to its identity and version.
+// Writes a record. One whose end was announced is reduced to its identity and
+// version.
 void write_member(const upstream_record& record, name_list& places,
                   wire::member& out);
 
-// Reads a record, or says which field breaks which rule.
+// Reads a record. The error names the invalid field and the violated rule.
 result<upstream_record> read_member(const wire::member& in,
                                     const name_list& places);
 
 void write_service(const service& declared, wire::service_declaration& out);
 result<service> read_service(const wire::service_declaration& in);
 
-// The hash of a record's content: all but its sequence; zero for a gone one.
+// The hash of a record's content without its sequence; zero for a gone one.
 std::uint64_t content_hash(const upstream_record& record, bool drained);
 
 // The hash of a declaration's content, never zero.
--- a/packages/membership/src/membership.cpp
+++ b/packages/membership/src/membership.cpp
@@ -12,7 +12,7 @@
 service_id balancer_group(const place_id& where)
 {
     const auto hash = static_cast<std::uint32_t>(stable_hash(where.value()));
-    // The highest number is left free as an end mark.
+    // The highest id is reserved as an end marker.
     constexpr std::uint32_t end_mark = 1U;
     return service_id((hash & ~end_mark) | first_balancer_group);
 }
--- a/packages/membership/src/observer.cpp
+++ b/packages/membership/src/observer.cpp
@@ -224,7 +224,8 @@
     return out;
 }
 
-// After a pause of this process, leases that ran out meanwhile mean nothing.
+// Leases that expired during a pause of this process are extended, since the
+// renewals may have been lost.
 void observer::forgive_pause(time_point now)
 {
     if (now - m_last_tick <= m_settings.lease / 2)
--- a/packages/membership/src/observer_judgement.cpp
+++ b/packages/membership/src/observer_judgement.cpp
@@ -8,8 +8,9 @@
 
 using internal::observed_record;
 
-// Silence is judged in three steps: mark what is silent, decide which whole
-// places are lost, then expire one by one what remains, under a cap.
+// Evaluates silence in three steps: marks the silent records, decides which
+// whole data centres are lost, and expires the remaining silent records one by
+// one, under a limit.
 void observer::judge(time_point now, observer_output& out)
 {
     refresh_homes(now);
@@ -35,9 +36,10 @@
     expire_silent(now, out);
 }
 
-// Whether the silence is more likely this host's own: most of its leases ran
+// Whether the silence is probably this host's own fault: most of its leases ran
 // out while it hears less than half of its region's observers, or nearly all
-// while nobody could confirm it. What is known is then kept as it is.
+// ran out while no neighbour could confirm it. All records are then kept
+// unchanged.
 bool observer::seems_cut_off(time_point now) const
 {
     constexpr std::size_t least_leases = 3;
@@ -69,7 +71,7 @@
     m_homes.clear();
     for (const auto& each : before)
     {
-        // A home without records is forgotten.
+        // Homes without records are dropped.
         if (each.second.population != 0 && !next_window)
         {
             status_of(now, each.first).expired_in_window =
@@ -127,8 +129,8 @@
     return held.suspect && now - held.suspect_since >= m_settings.settle;
 }
 
-// Reports to the other observers the places of which this home has lost all or
-// nearly all leases, and keeps the time at which the report began.
+// Reports the data centres of which this home lost all or nearly all leases to
+// the other observers, and keeps the time at which each report began.
 void observer::report_places(time_point now)
 {
     for (const auto& each : m_counts)
@@ -149,8 +151,9 @@
 
 void observer::judge_places(time_point now, observer_output& out)
 {
-    // The settled ones must be a fair part, so that the death of an observer
-    // that is home to most of a place does not count as the place's.
+    // A sufficient share must be overdue. Otherwise the failure of an observer
+    // that is home to most of a data centre's members would count as a failure
+    // of the data centre.
     constexpr std::size_t settled_part = 3;
     for (const auto& each : m_counts)
     {
@@ -189,7 +192,8 @@
     out.places.push_back(place_change{where, true});
 }
 
-// The members of a place that is back get the time to say so themselves.
+// The members of a data centre that has returned get time to renew their
+// leases.
 void observer::place_back(time_point now, const place_id& where,
                           observer_output& out)
 {
@@ -227,7 +231,8 @@
             const bool own = next.home == m_settings.self.id;
             store(each->second, std::move(next), out);
             m_metrics.count("membership_expired_total");
-            // Of a dead home's records every observer judges by itself.
+            // The records of a failed home are expired by every observer by
+            // itself, so only own ones are sent.
             if (own)
             {
                 m_unsent.insert(each->first);
@@ -280,9 +285,9 @@
     return within_cap(now, held, home);
 }
 
-// Whether a place that this home reports may yet turn out to be lost: the other
-// homes get some time to report it too, and twice as long once half of it is
-// silent.
+// Whether a data centre that this home reports may still turn out to be lost.
+// The other homes have some time to report it, too, and twice as long if half
+// of its members are silent.
 bool observer::may_be_whole_place(time_point now, const place_id& where) const
 {
     const auto report = m_own_reports.find(where);
--- a/packages/membership/src/observer_peers.cpp
+++ b/packages/membership/src/observer_peers.cpp
@@ -34,7 +34,8 @@
         next.record = *record;
         next.home = host_id(in.homes(static_cast<int>(member.home())));
         next.gone_at = now - gone_for;
-        // Of the own ones that a restart forgot, the announcers will renew.
+        // A record of this home that a restart lost has no lease here yet. Its
+        // announcer renews it within this time.
         next.lease_until = now + m_settings.lease + m_settings.orphan_grace;
         merge(std::move(next), out);
     }
@@ -120,9 +121,10 @@
     }
 }
 
-// All may have lost everything at once: then nobody is left to learn from, and
-// those that agree are right once they are most. Two that restart beside a
-// third one may agree on too little until its records come, a round trip later.
+// After a simultaneous restart of all observers none has records to learn from,
+// so a majority of observers with equal digests is taken as complete. Two
+// observers that restart beside a third one may agree on incomplete records
+// until its records arrive one round trip later.
 void observer::note_equal_digest(const host_id& from, bool is_ready)
 {
     m_agreeing.insert(from);
@@ -171,7 +173,7 @@
     }
     if (in.asks())
     {
-        // After the records, so that the asker holds them when it compares.
+        // Sent after the records, so that the asker has them when it compares.
         send_digest(from, false, out);
     }
 }
@@ -192,7 +194,8 @@
     send_batch(batch, to, out);
 }
 
-// Those that ended as well: the other one may hold one of them for expired.
+// Sends the records whose end was announced as well, since the peer may hold
+// one of them as expired.
 void observer::send_gone(time_point now, const host_id& to,
                          observer_output& out) const
 {
@@ -219,8 +222,9 @@
     }
 }
 
-// As many differing buckets as one answer may hold, from a place that moves
-// on, so that a great difference is repaired over several digests.
+// Chooses as many differing buckets as one reply may hold, starting after the
+// last one chosen before, so that a large difference is repaired over several
+// digests.
 std::vector<bool> observer::buckets_to_send(const wire::observer_digest& in)
 {
     constexpr std::size_t all = internal::digest_book::bucket_count;
--- a/packages/membership/src/observer_records.cpp
+++ b/packages/membership/src/observer_records.cpp
@@ -5,7 +5,7 @@
 
 #include <utility>
 
-// How records take each other's place, and what is kept up with them.
+// Merging of records, and the indexes and sums derived from them.
 
 namespace crowlink
 {
@@ -16,8 +16,8 @@
 namespace
 {
 
-// Whether a record takes the place of the held one. Every observer decides
-// alike, whatever order records come in.
+// Whether a record replaces the held one. Every observer decides alike, in
+// whatever order records arrive.
 bool supersedes(const observed_record& next, const observed_record& held)
 {
     if (!same_version(next.record, held.record))
@@ -46,7 +46,7 @@
     return stable_hash(held.home.value(), version) | 1U;
 }
 
-// What a record adds to the digest of those whose lease ran out.
+// The contribution of a record to the digest of expired records.
 std::uint64_t expired_hash(const upstream_record& record)
 {
     if (!record.expired)
@@ -61,9 +61,10 @@
 
 } // namespace
 
-// One agent has one upstream: what it announces ends the one before, whose
-// agent may have had no time to say so. Without this the former one stays a
-// candidate until its lease is judged, seconds after others run in its place.
+// One agent has one upstream, so an announcement ends the agent's previous
+// upstream, whose agent may have stopped without announcing its end. Otherwise
+// the previous one would stay a candidate until its lease expires, seconds
+// after its successor has started.
 void observer::end_former_life(time_point now, const upstream_record& present,
                                observer_output& out)
 {
@@ -85,7 +86,8 @@
     observed_record ended = former->second;
     ended.record.state = upstream_state::gone;
     ended.record.expired = false;
-    // As if it had said so itself: nobody need wonder whether it is silent.
+    // Equals an end announced by the upstream itself, so that nodes do not
+    // treat it as silent.
     ++ended.record.sequence;
     ended.home = m_settings.self.id;
     ended.gone_at = now;
@@ -95,7 +97,8 @@
     m_metrics.count("membership_former_lives_ended_total");
 }
 
-// Keeps the held record, or replaces it if the next one supersedes it.
+// Replaces the held record if the next one supersedes it. Returns whether the
+// next one was stored.
 bool observer::merge(observed_record next, observer_output& out)
 {
     const record_key key = internal::key_of(next.record);
@@ -157,7 +160,8 @@
     }
 }
 
-// Of one whose lease ran out the place is kept, so that its successor ends it.
+// The agent of an expired record is kept, so that the upstream's successor ends
+// it.
 void observer::note_agent(const upstream_record& before,
                           const upstream_record& after)
 {
--- a/packages/membership/src/part_builder.cpp
+++ b/packages/membership/src/part_builder.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Tag and length of a message within the part.
+// Tag and length of a nested message in the part.
 constexpr std::size_t nested_bytes = 3;
 
 } // namespace
@@ -61,7 +61,7 @@
     }
 }
 
-// Adds what is current, unless a later entry of a log will.
+// Adds the current state of an item, unless a later log entry covers it.
 void part_builder::add_change(const logged_change& change,
                               wire::stream_part& part)
 {
@@ -83,8 +83,8 @@
     }
 }
 
-// Walks declarations and records in one order, service by service: of each
-// first its declaration, then its members.
+// Walks declarations and records in one order: for each service its
+// declaration, then its members.
 void part_builder::add_snapshot(wire::stream_part& part)
 {
     snapshot_cursor& cursor = m_session.snapshot;
@@ -112,8 +112,8 @@
     part.set_filling(cursor.next.service.value());
 }
 
-// Adds the members of the service that the cursor stands at; past the last one
-// the cursor moves to the next service.
+// Adds the members of the service at the cursor. After the last one the cursor
+// moves to the next service.
 void part_builder::add_members(wire::stream_part& part)
 {
     snapshot_cursor& cursor = m_session.snapshot;
@@ -128,8 +128,9 @@
             cursor.next = record->first;
             return;
         }
-        // Digests leave out what is gone, so that a node that starts would not
-        // hear of those that may live on.
+        // Digests leave out gone records. Expired ones are always sent, since a
+        // node that starts would otherwise not learn of members that may still
+        // be alive.
         if (cursor.covered[bucket_of(service, record->first.id)] ||
             record->second.record.expired)
         {
@@ -140,7 +141,7 @@
     cursor.next = record_key{service_id(service.value() + 1), upstream_id()};
 }
 
-// The first service at or after a number that is wanted and known.
+// The first service at or after an id that is subscribed to and known.
 bool part_builder::next_service(service_id from, service_id& found) const
 {
     const auto& services = m_state.services();
--- a/packages/membership/src/part_builder.hpp
+++ b/packages/membership/src/part_builder.hpp
@@ -10,8 +10,8 @@
 namespace crowlink::internal
 {
 
-// Fills one part of a stream up to a number of bytes, in the order of
-// priority: urgent changes, the snapshot, other changes.
+// Fills one part of a stream up to a number of bytes, in order of priority:
+// urgent changes, the snapshot, other changes.
 class part_builder
 {
 public:
@@ -21,7 +21,7 @@
     {
     }
 
-    // Yields whether anything was added.
+    // Returns whether anything was added.
     bool fill(wire::stream_part& part);
 
 private:
--- a/packages/membership/src/peer_board.cpp
+++ b/packages/membership/src/peer_board.cpp
@@ -69,7 +69,7 @@
         return false;
     }
     const auto found = m_peers.find(peer);
-    // A home that the settings no longer name is gone for good.
+    // A home that is no longer configured does not come back.
     return found == m_peers.end() || now - latest(found->second) > time;
 }
 
--- a/packages/membership/src/place_watch.cpp
+++ b/packages/membership/src/place_watch.cpp
@@ -90,7 +90,7 @@
         {
             continue;
         }
-        // What was asked before this answer says no more.
+        // Probes sent before the answered one carry no further information.
         std::erase_if(place.unanswered, [number](const sent_probe& each)
                       { return each.number <= number; });
         place.missed = 0;
--- a/packages/membership/src/publisher.cpp
+++ b/packages/membership/src/publisher.cpp
@@ -34,7 +34,7 @@
     return out;
 }
 
-// Adds the hashes of one service or group to the buckets.
+// Adds the hashes of one service or balancer group to the buckets.
 void add_service(const internal::published_state& state, service_id service,
                  digest_book::bucket_array& out)
 {
@@ -54,7 +54,7 @@
     }
 }
 
-// The bucket digests of what a node wants.
+// The bucket digests of the services and groups that a node subscribes to.
 digest_book::bucket_array buckets_of(const internal::published_state& state,
                                      const selection& wants)
 {
@@ -198,8 +198,9 @@
     out.push_back(membership_send{from, std::move(refused)});
 }
 
-// A host whose disk was lost gets the document from another one, which may
-// serve long before it: nodes need not wait for such a host.
+// Whether this host will be able to serve within the time that nodes wait. A
+// host whose disk was lost gets the document from another one, which may serve
+// long before it, so nodes need not wait for this host.
 bool publisher::will_serve() const
 {
     return is_sure() || m_state.version() > config_version();
@@ -213,8 +214,8 @@
            m_sessions.size() + m_waiting.size() < m_settings.node_capacity;
 }
 
-// What is in force could have been overtaken: a node that starts anew must not
-// take it for the newest.
+// A node without a document must not be given one that may have been
+// superseded.
 bool publisher::may_serve(const wire::attach& wanted) const
 {
     return wanted.version() == 0 ? is_sure() : m_ready;
@@ -250,9 +251,9 @@
     m_sessions[node] = std::move(session);
 }
 
-// All nodes come at once when all control hosts were away. Kept in mind they
-// need not ask again and again: each is served at the tick in which this host
-// may, instead of after a wait of its own.
+// After an outage of all control hosts all nodes ask at once. With their
+// requests kept they need not ask repeatedly: each is served at the first tick
+// at which this host may serve, and not after a backoff of its own.
 void publisher::serve_waiting(time_point now)
 {
     std::erase_if(
--- a/packages/membership/src/publisher_stream.cpp
+++ b/packages/membership/src/publisher_stream.cpp
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-// What a publisher sends on the streams of its nodes.
+// The publisher's streams to its nodes.
 
 namespace crowlink
 {
@@ -18,7 +18,8 @@
 namespace
 {
 
-// A part is not begun for less than this; it keeps the share of framing low.
+// No part is begun for less than this, which keeps the share of the framing
+// low.
 constexpr double least_part_bytes = 768;
 
 std::uint32_t whole_seconds(duration time)
@@ -28,7 +29,7 @@
     return static_cast<std::uint32_t>(seconds);
 }
 
-// Bounded, since a document that was never confirmed is very old.
+// Saturates, since a document that was never confirmed is very old.
 std::uint32_t whole_milliseconds(duration time)
 {
     constexpr std::int64_t most = std::numeric_limits<std::uint32_t>::max();
@@ -49,7 +50,7 @@
 
 } // namespace
 
-// Yields whether the node is still served.
+// Returns whether the node is still served.
 bool publisher::serve(time_point now, const host_id& node,
                       publisher_session& session,
                       std::vector<membership_send>& out)
@@ -94,7 +95,7 @@
            session.ordinary < m_state.ordinary().end();
 }
 
-// Whole data centres go first: one line says much of many upstreams. Yields
+// Data centres are sent first, since one entry covers many upstreams. Returns
 // whether anything was added.
 bool publisher::add_places(publisher_session& session,
                            wire::stream_part& part) const
@@ -121,7 +122,7 @@
     return added;
 }
 
-// Yields whether there was anything to send.
+// Returns whether there was anything to send.
 bool publisher::send_part(time_point now, const host_id& node,
                           publisher_session& session,
                           std::vector<membership_send>& out)
--- a/packages/membership/src/subscribed_state.cpp
+++ b/packages/membership/src/subscribed_state.cpp
@@ -30,15 +30,15 @@
 namespace
 {
 
-// How long a record must stay absent from a publisher's snapshots before it is
-// taken for gone: a publisher may have started a moment ago.
+// How long a record must be absent from a publisher's snapshots before it is
+// considered gone, since the publisher may have just started.
 constexpr duration absent_grace = std::chrono::seconds(20);
-// The same where much is absent at once.
+// The same if many records are absent at once.
 constexpr duration mass_absent_grace = std::chrono::minutes(5);
 constexpr std::size_t mass_least = 16;
 constexpr std::size_t mass_part = 3;
 
-// Whether a record may take the place of the held one.
+// Whether a record may replace the held one.
 bool supersedes(const upstream_record& next, const subscribed_record& held)
 {
     if (!same_version(next, held.record))
@@ -48,7 +48,7 @@
     return is_gone(next) ? !is_gone(held.record) : held.forgotten;
 }
 
-// What a member was before its lease ran out.
+// The record of a member before its lease expired.
 upstream_record living_form(const upstream_record& expired,
                             const subscribed_record& held)
 {
@@ -78,7 +78,7 @@
     }
     const bool same = same_version(record, held.record);
     const bool next = unknown || supersedes(record, held);
-    // Of a record that was not known, an old drain mark is better than none.
+    // An old drain mark is better than none for a record that was not known.
     const bool current =
         unknown || version >= std::max(held.drain_version, m_floor);
     const bool marks = (next || same) && current;
@@ -98,8 +98,8 @@
     {
         m_living += is_gone(record) ? 0 : 1;
         m_living -= is_gone(held.record) ? 0 : 1;
-        // A control host of an earlier release does not say that the lease
-        // ran out; its own word would have raised the sequence.
+        // Control hosts of earlier releases do not report that a lease expired.
+        // An announced end would have incremented the sequence.
         const bool is_silent =
             record.expired || (same && is_gone(record) && !unknown);
         if (is_gone(record) && !is_gone(held.record))
@@ -172,7 +172,7 @@
     return replace_places(m_evacuated, std::move(evacuated));
 }
 
-// Touches the services that have members in a place that joined or left.
+// Marks the services that have members in an added or removed data centre.
 bool subscribed_state::replace_places(std::set<place_id>& held,
                                       std::set<place_id> next)
 {
@@ -293,7 +293,7 @@
     }
 }
 
-// A balancer's change touches every view that this node holds.
+// A change of a balancer affects every view that this node holds.
 void subscribed_state::touch(service_id service)
 {
     if (!is_balancer_group(service))
--- a/packages/membership/src/subscriber.cpp
+++ b/packages/membership/src/subscriber.cpp
@@ -104,8 +104,9 @@
     return out;
 }
 
-// A publisher may begin to serve a request that the node gave up meanwhile.
-// After an outage of all control hosts that was every node's at one of three.
+// Ends the stream of a publisher that starts to serve a request after the node
+// has attached elsewhere. After an outage of all control hosts this affected
+// every node at one of three control hosts.
 void subscriber::leave_stream(const host_id& from,
                               const wire::membership_message& in,
                               subscriber_output& out)
@@ -286,8 +287,8 @@
     return out;
 }
 
-// Yields the views that changed, but for the one whose members are still on
-// their way.
+// Adds the views that changed, except for the service whose members are still
+// being received.
 void subscriber::emit(subscriber_output& out)
 {
     out.control_hosts = std::exchange(m_control_hosts, std::nullopt);
@@ -370,7 +371,8 @@
     send(std::move(message), out);
 }
 
-// Attaches anew to the same publisher, which then sends what differs.
+// Schedules another attach request to the same publisher, which then sends the
+// differences.
 void subscriber::repair(time_point now)
 {
     m_phase = phase::waiting;
--- a/packages/membership/src/subscriber_publishers.cpp
+++ b/packages/membership/src/subscriber_publishers.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// Which control host a node asks, and when it goes to the next one.
+// Selection of the publisher and fail-over.
 
 namespace crowlink
 {
@@ -50,7 +50,8 @@
     next_publisher(now);
     if (!was_served)
     {
-        // Nobody was burdened by a request that went nowhere.
+        // The request that failed put no load on a publisher, so there is no
+        // backoff.
         m_next = now;
     }
 }
@@ -74,9 +75,9 @@
     return m_named.count(m_order[at]) != 0;
 }
 
-// The next one that there is a connection to, or that was not tried yet; those
-// that were named as control hosts go before those that only the settings name.
-// False if all are lost.
+// Chooses the next publisher that is connected or was not tried yet. Hosts
+// named as control hosts come before those that are only configured. Returns
+// false if there is none.
 bool subscriber::choose_publisher()
 {
     std::optional<std::size_t> found;
@@ -98,8 +99,8 @@
     return found.has_value();
 }
 
-// One that keeps the request serves it as soon as it may. It could be cut off
-// from the others, so that the node does not stay for ever.
+// A publisher that keeps the request serves it as soon as it may. It may be cut
+// off from the other control hosts, so the node waits for a limited time.
 void subscriber::refused(time_point now, bool kept)
 {
     if (kept)
@@ -110,7 +111,7 @@
     }
     const bool knows_better = !m_named.empty() && !is_named(m_source);
     ++m_refusals;
-    // Each of them is asked once without a wait in between.
+    // Every publisher is asked once without a backoff in between.
     const bool has_others = m_refusals < m_order.size();
     const duration backoff = m_backoff;
     next_publisher(now);
