--- a/packages/membership/include/crowlink/membership/announcer.hpp
+++ b/packages/membership/include/crowlink/membership/announcer.hpp
@@ -62,8 +62,8 @@
 private:
     std::vector<membership_send> announce(time_point now);
     std::vector<membership_send> renew(time_point now);
-    std::vector<membership_send> answered(time_point now,
-                                          const wire::announcement_answer& in);
+    std::vector<membership_send>
+    handle_answer(time_point now, const wire::announcement_answer& in);
     void fail_over(time_point now);
     void choose_next_home(time_point now);
     duration jittered(duration time);
@@ -85,7 +85,7 @@
     bool m_waiting_answer = false;
     // The home holds the lease, but the other observers do not hear the home.
     bool m_is_home_isolated = false;
-    int m_tries = 0;
+    int m_attempts = 0;
     std::size_t m_failed_observers = 0;
     duration m_backoff;
     time_point m_next;
--- a/packages/membership/include/crowlink/membership/digest_book.hpp
+++ b/packages/membership/include/crowlink/membership/digest_table.hpp
@@ -13,7 +13,7 @@
 // The digests of a set of hashed items: sums of their hashes, in total, for
 // each service and for each of 256 buckets. Sums can be updated item by item.
 // Equal sums of XXH3 hashes mean equal sets with overwhelming probability.
-class digest_book
+class digest_table
 {
 public:
     static constexpr std::size_t bucket_count = 256;
--- a/packages/membership/include/crowlink/membership/observer.hpp
+++ b/packages/membership/include/crowlink/membership/observer.hpp
@@ -2,12 +2,12 @@
 
 #include "crowlink/base/metrics.hpp"
 #include "crowlink/base/time.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/membership/expired_lease.hpp"
 #include "crowlink/membership/observed_record.hpp"
 #include "crowlink/membership/observer_output.hpp"
 #include "crowlink/membership/observer_settings.hpp"
-#include "crowlink/membership/peer_board.hpp"
+#include "crowlink/membership/peer_liveness.hpp"
 #include "crowlink/membership/record_key.hpp"
 #include "crowlink/membership/region_age.hpp"
 
@@ -78,7 +78,7 @@
         // Silent, including those within a grace period.
         std::size_t silent = 0;
         // Silent for long enough to be expired.
-        std::size_t settled = 0;
+        std::size_t expirable = 0;
         std::size_t own = 0;
         std::size_t own_silent = 0;
     };
@@ -96,19 +96,20 @@
         std::size_t expired_in_window = 0;
     };
 
-    void announced(time_point now, const host_id& from,
-                   const wire::announcement& in, observer_output& out);
-    void renewed(time_point now, const host_id& from, const wire::renewal& in,
-                 observer_output& out);
-    void changes(time_point now, const wire::observer_changes& in,
-                 observer_output& out);
-    void heartbeat(time_point now, const host_id& from,
-                   const wire::observer_heartbeat& in);
-    void digest(time_point now, const host_id& from,
-                const wire::observer_digest& in, observer_output& out);
+    void handle_announcement(time_point now, const host_id& from,
+                             const wire::announcement& in,
+                             observer_output& out);
+    void handle_renewal(time_point now, const host_id& from,
+                        const wire::renewal& in, observer_output& out);
+    void handle_changes(time_point now, const wire::observer_changes& in,
+                        observer_output& out);
+    void handle_heartbeat(time_point now, const host_id& from,
+                          const wire::observer_heartbeat& in);
+    void handle_digest(time_point now, const host_id& from,
+                       const wire::observer_digest& in, observer_output& out);
 
     bool merge(internal::observed_record next, observer_output& out);
-    void end_former_life(time_point now, const upstream_record& present,
+    void end_predecessor(time_point now, const upstream_record& present,
                          observer_output& out);
     void store(internal::observed_record& held, internal::observed_record next,
                observer_output& out);
@@ -116,7 +117,7 @@
     void send_heartbeats(time_point now, observer_output& out) const;
     void send_digest(const host_id& to, bool asks, observer_output& out) const;
     void send_next_digest(observer_output& out);
-    void ask_for_digests(time_point now, observer_output& out);
+    void request_digests(time_point now, observer_output& out);
     void send_differing(time_point now, const host_id& to,
                         const wire::observer_digest& in, observer_output& out);
     void send_gone(time_point now, const host_id& to,
@@ -125,18 +126,18 @@
                            observer_output& out);
     void note_equal_digest(const host_id& from, bool is_ready);
     std::vector<bool> buckets_to_send(const wire::observer_digest& in);
-    void forgive_pause(time_point now);
+    void extend_leases_after_pause(time_point now);
 
-    void judge(time_point now, observer_output& out);
+    void detect_failures(time_point now, observer_output& out);
     void refresh_homes(time_point now);
     home_status& status_of(time_point now, const host_id& home);
-    void count(time_point now, internal::observed_record& held);
-    void judge_places(time_point now, observer_output& out);
+    void count_silence(time_point now, internal::observed_record& held);
+    void detect_lost_places(time_point now, observer_output& out);
     void report_places(time_point now);
     void place_lost(time_point now, const place_id& where,
                     observer_output& out);
-    void place_back(time_point now, const place_id& where,
-                    observer_output& out);
+    void place_returned(time_point now, const place_id& where,
+                        observer_output& out);
     void expire_silent(time_point now, observer_output& out);
     void note_agent(const upstream_record& before,
                     const upstream_record& after);
@@ -148,17 +149,18 @@
     bool may_be_whole_place(time_point now, const place_id& where) const;
     bool within_cap(time_point now, const internal::observed_record& held,
                     home_status& status) const;
-    bool settled(time_point now, const internal::observed_record& held) const;
+    bool is_expirable(time_point now,
+                      const internal::observed_record& held) const;
     bool seems_cut_off(time_point now) const;
     bool purge(time_point now, const internal::observed_record& held) const;
 
     observer_settings m_settings;
-    internal::peer_board m_peers;
+    internal::peer_liveness m_peers;
     table m_records;
     // For each agent the living record that was stored last, or one whose lease
     // expired. Other records of the agent belong to former upstreams.
-    std::map<endpoint, internal::record_key> m_at_agent;
-    internal::digest_book m_book;
+    std::map<endpoint, internal::record_key> m_by_agent;
+    internal::digest_table m_digests;
     // The sum of hashes of the records whose lease expired, which the digests
     // leave out.
     std::uint64_t m_expired_digest = 0;
@@ -177,13 +179,13 @@
     time_point m_last_tick;
     time_point m_next_heartbeat;
     time_point m_next_digest;
-    time_point m_next_question;
+    time_point m_next_digest_request;
     // Peers that have just started as well and hold the same records.
     std::set<host_id> m_agreeing;
-    time_point m_next_judgement;
+    time_point m_next_detection;
     bool m_ready = false;
     // Expiry is suspended, since the silence is probably this host's own fault.
-    bool m_held_back = false;
+    bool m_expiry_suspended = false;
     metrics m_metrics;
     std::vector<expired_lease> m_expired;
 };
--- a/packages/membership/include/crowlink/membership/observer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/observer_settings.hpp
@@ -44,9 +44,9 @@
     double place_share = 0.9;
     std::size_t place_members = 8;
     // Without confirmation at most this share of one home's records, or
-    // expiry_least records if that is more, expires within expiry_window.
+    // expiry_minimum records if that is more, expires within expiry_window.
     double expiry_share = 0.1;
-    std::size_t expiry_least = 2;
+    std::size_t expiry_minimum = 2;
     duration expiry_window = std::chrono::seconds(10);
     // Records beyond that limit expire once they have stayed silent for this
     // long while at least half of the own region's observers are heard.
@@ -62,8 +62,8 @@
     duration start_grace = std::chrono::seconds(10);
     // The most records in one message to a peer, and the most messages in the
     // reply to one digest.
-    std::size_t records_a_message = 512;
-    std::size_t messages_a_digest = 16;
+    std::size_t records_per_message = 512;
+    std::size_t messages_per_digest = 16;
     // The most records that are held, including gone ones.
     std::size_t record_capacity = 200000;
 };
--- a/packages/membership/include/crowlink/membership/peer_board.hpp
+++ b/packages/membership/include/crowlink/membership/peer_liveness.hpp
@@ -14,15 +14,18 @@
 // Tracks the liveness of the other observers: when each was last heard,
 // directly or by an observer that is heard, and which data centres each reports
 // as lost.
-class peer_board
+class peer_liveness
 {
 public:
-    peer_board(const observer_settings& settings, time_point now);
+    peer_liveness(const observer_settings& settings, time_point now);
 
     // Replaces the set of peers. A new one counts as just heard.
-    void keep(time_point now, const std::vector<observer_info>& peers);
+    void set_peers(time_point now, const std::vector<observer_info>& peers);
 
-    bool known(const host_id& peer) const { return m_peers.count(peer) != 0; }
+    bool is_known(const host_id& peer) const
+    {
+        return m_peers.count(peer) != 0;
+    }
 
     // Applies a peer's heartbeat. Unknown observers in its list are ignored.
     void heard(time_point now, const host_id& from,
@@ -65,7 +68,7 @@
 
     // Restarts the indirect timeouts. After a pause of the own process the
     // silence of others shows nothing.
-    void forgive(time_point now);
+    void restart_timeouts(time_point now);
 
 private:
     struct known_peer
--- a/packages/membership/include/crowlink/membership/place_watch.hpp
+++ b/packages/membership/include/crowlink/membership/place_watch.hpp
@@ -17,19 +17,19 @@
 struct place_watch_settings
 {
     // The interval between two probes of one data centre while it answers.
-    duration probe_every = std::chrono::milliseconds(100);
+    duration probe_interval = std::chrono::milliseconds(100);
     // The most probes that one host sends per second, however many data centres
     // there are. Beyond it the data centres are probed in turn.
     std::uint32_t probes_per_second = 20;
     // A round trip plus two scheduling delays in busy processes.
-    duration answer_within = std::chrono::milliseconds(100);
+    duration answer_timeout = std::chrono::milliseconds(100);
     // This many unanswered probes to different hosts after a first one show
     // that the data centre, and not a single host in it, is unreachable.
     std::uint32_t confirmations = 5;
     // After this many further unanswered probes in a row the flows to the data
     // centre are given up. Hosts that were all stopped only briefly answer
     // again by then.
-    std::uint32_t patience = 3;
+    std::uint32_t give_up_probes = 3;
 };
 
 struct place_probe
@@ -89,8 +89,8 @@
 
     void note_missed(time_point now, const place_id& where,
                      watched_place& place);
-    void ask(time_point now, watched_place& place,
-             std::vector<place_probe>& probes);
+    void send_probe(time_point now, watched_place& place,
+                    std::vector<place_probe>& probes);
     duration interval() const;
 
     place_watch_settings m_settings;
--- a/packages/membership/include/crowlink/membership/published_state.hpp
+++ b/packages/membership/include/crowlink/membership/published_state.hpp
@@ -2,7 +2,7 @@
 
 #include "crowlink/base/time.hpp"
 #include "crowlink/membership/change_log.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/model/service.hpp"
 #include "crowlink/model/system_document.hpp"
 #include "crowlink/model/upstream_record.hpp"
@@ -58,7 +58,7 @@
     }
     const change_log& urgent() const { return m_urgent; }
     const change_log& ordinary() const { return m_ordinary; }
-    const digest_book& book() const { return m_book; }
+    const digest_table& digests() const { return m_digests; }
 
 private:
     struct tombstone
@@ -80,7 +80,7 @@
     std::uint64_t m_changes = 0;
     change_log m_urgent;
     change_log m_ordinary;
-    digest_book m_book;
+    digest_table m_digests;
     std::deque<tombstone> m_tombstones;
 };
 
--- a/packages/membership/include/crowlink/membership/publisher.hpp
+++ b/packages/membership/include/crowlink/membership/publisher.hpp
@@ -79,12 +79,14 @@
         time_point since{};
     };
 
-    void attached(time_point now, const host_id& from, const wire::attach& in,
-                  std::vector<membership_send>& out);
+    void handle_attach(time_point now, const host_id& from,
+                       const wire::attach& in,
+                       std::vector<membership_send>& out);
     bool will_serve() const;
     bool has_room(const host_id& node) const;
     bool may_serve(const wire::attach& wanted) const;
-    void begin(time_point now, const host_id& node, const wire::attach& wanted);
+    void start_session(time_point now, const host_id& node,
+                       const wire::attach& wanted);
     void serve_waiting(time_point now);
     bool serve(time_point now, const host_id& node,
                internal::publisher_session& session,
--- a/packages/membership/include/crowlink/membership/publisher_session.hpp
+++ b/packages/membership/include/crowlink/membership/publisher_session.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "crowlink/base/time.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/membership/record_key.hpp"
 #include "crowlink/membership/token_bucket.hpp"
 
@@ -18,7 +18,7 @@
     bool all_services = false;
     std::set<service_id> services;
 
-    bool holds(service_id service) const;
+    bool contains(service_id service) const;
     // The next subscribed id at or after this one, as far as the selection
     // alone can tell.
     service_id next(service_id from) const;
@@ -29,7 +29,7 @@
 struct snapshot_cursor
 {
     bool active = false;
-    std::bitset<digest_book::bucket_count> covered;
+    std::bitset<digest_table::bucket_count> covered;
     bool declarations_done = false;
     // The first item that was not sent yet.
     record_key next;
@@ -42,7 +42,7 @@
     selection wants;
     std::uint32_t stream = 0;
     std::uint32_t sequence = 0;
-    token_bucket pace;
+    token_bucket rate_limit;
     std::uint64_t urgent = 0;
     std::uint64_t ordinary = 0;
     snapshot_cursor snapshot;
--- a/packages/membership/include/crowlink/membership/subscribed_state.hpp
+++ b/packages/membership/include/crowlink/membership/subscribed_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "crowlink/base/time.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/membership/lost_member.hpp"
 #include "crowlink/membership/record_key.hpp"
 #include "crowlink/model/service_view.hpp"
@@ -28,12 +28,12 @@
     // The stream that contained it last.
     std::uint32_t generation = 0;
     // The record before its lease expired. Not set if its end was announced.
-    std::optional<upstream_record> silent;
+    std::optional<upstream_record> before_expiry;
     // When a publisher's snapshot first lacked it.
     std::optional<time_point> absent_since;
     // It is gone only because snapshots lacked it, so the same version may
     // return.
-    bool forgotten = false;
+    bool removed_as_absent = false;
     time_point gone_at{};
 };
 
@@ -67,18 +67,21 @@
 
     // Sets the version of the document that is completely applied. Content of
     // older documents is ignored from then on.
-    void set_floor(std::uint64_t version) { m_floor = version; }
+    void set_complete_version(std::uint64_t version)
+    {
+        m_complete_version = version;
+    }
 
     // Handles the items in the covered buckets that the snapshot did not
     // contain.
     void sweep(time_point now, std::uint64_t version, std::uint32_t generation,
-               const std::bitset<digest_book::bucket_count>& covered);
+               const std::bitset<digest_table::bucket_count>& covered);
 
     // Drops gone records older than the given life, and removed services.
     void purge(time_point now, duration life);
 
     // Returns the services whose views changed since the last call.
-    std::set<service_id> take_touched();
+    std::set<service_id> take_changed();
 
     // Returns the members that were removed, or whose lease was found to have
     // expired, since the last call; at most 256 of them.
@@ -94,7 +97,7 @@
         return m_records;
     }
     const std::set<place_id>& lost_places() const { return m_lost_places; }
-    const digest_book& book() const { return m_book; }
+    const digest_table& digests() const { return m_digests; }
     std::size_t living() const { return m_living; }
 
     std::uint64_t evacuations_revision() const
@@ -106,12 +109,12 @@
 private:
     bool replace_places(std::set<place_id>& held, std::set<place_id> next);
     void replace_hash(const record_key& key, subscribed_record& held);
-    void touch(service_id service);
+    void mark_changed(service_id service);
     void note_lost(const subscribed_record& held, loss_reason reason,
                    std::uint64_t told_sequence);
     std::size_t
     count_absent(std::uint32_t generation,
-                 const std::bitset<digest_book::bucket_count>& covered) const;
+                 const std::bitset<digest_table::bucket_count>& covered) const;
 
     std::map<record_key, subscribed_record> m_records;
     std::map<service_id, subscribed_service> m_services;
@@ -120,11 +123,11 @@
     std::set<place_id> m_given_up;
     std::uint64_t m_evacuations_revision = 0;
     std::set<place_id> m_evacuated;
-    std::set<service_id> m_touched;
+    std::set<service_id> m_changed;
     std::vector<lost_member> m_lost;
-    digest_book m_book;
+    digest_table m_digests;
     std::size_t m_living = 0;
-    std::uint64_t m_floor = 0;
+    std::uint64_t m_complete_version = 0;
 };
 
 } // namespace crowlink::internal
--- a/packages/membership/include/crowlink/membership/subscriber.hpp
+++ b/packages/membership/include/crowlink/membership/subscriber.hpp
@@ -82,23 +82,24 @@
         attached,
     };
 
-    void leave_stream(const host_id& from, const wire::membership_message& in,
-                      subscriber_output& out);
-    void take_part(time_point now, const wire::stream_part& in);
+    void end_late_stream(const host_id& from,
+                         const wire::membership_message& in,
+                         subscriber_output& out);
+    void handle_part(time_point now, const wire::stream_part& in);
     void apply(time_point now, const wire::stream_part& in);
     template <class Names>
-    void take_hosts(const Names& names);
-    void take_digest(time_point now, const wire::stream_digest& in);
+    void take_control_hosts(const Names& names);
+    void handle_digest(time_point now, const wire::stream_digest& in);
     void note_version(time_point now, std::uint64_t version);
-    void emit(subscriber_output& out);
+    void collect_changes(subscriber_output& out);
     void attach(time_point now, subscriber_output& out);
-    void repair(time_point now);
+    void reattach(time_point now);
     void next_publisher(time_point now);
     bool choose_publisher();
     bool is_reachable(std::size_t at) const;
     bool is_named(std::size_t at) const;
-    void refused(time_point now, bool kept);
-    void wait(time_point now);
+    void handle_refusal(time_point now, bool kept);
+    void back_off(time_point now);
     void order_publishers();
     std::uint64_t root() const;
     void send(wire::membership_message message, subscriber_output& out);
@@ -107,7 +108,7 @@
     seeded_random m_random;
     std::vector<host_id> m_order;
     // Subscribed services and balancer groups beside those of all_services.
-    std::set<service_id> m_listed;
+    std::set<service_id> m_subscribed;
     internal::subscribed_state m_state;
     std::set<service_id> m_pending;
     // The control hosts that the stream named last, if it named any since they
@@ -115,16 +116,16 @@
     std::optional<std::vector<host_id>> m_control_hosts;
     std::size_t m_source = 0;
     // Control hosts without a connection.
-    std::set<host_id> m_lost;
+    std::set<host_id> m_disconnected;
     // Control hosts named in the last list from a control host or from a host
     // that knows some.
-    std::set<host_id> m_named;
+    std::set<host_id> m_named_hosts;
     // Consecutive refusals by publishers since the last backoff.
     std::size_t m_refusals = 0;
     phase m_phase = phase::waiting;
     std::uint32_t m_stream = 0;
     std::uint32_t m_sequence = 0;
-    std::uint32_t m_filling = 0;
+    std::uint32_t m_incomplete_service = 0;
     config_version m_applied;
     // The highest version seen, applied or not.
     std::uint64_t m_highest = 0;
@@ -133,7 +134,7 @@
     time_point m_next;
     time_point m_next_alive;
     time_point m_next_purge;
-    time_point m_heard;
+    time_point m_last_heard;
     duration m_document_age{};
     // The earliest time at which a publisher is left again because its document
     // is stale.
--- a/packages/membership/src/announcer.cpp
+++ b/packages/membership/src/announcer.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr int tries_per_observer = 2;
+constexpr int attempts_per_observer = 2;
 constexpr unsigned random_bits_in_incarnation = 16;
-constexpr double least_jitter = 0.75;
-constexpr double most_jitter = 1.0;
+constexpr double min_jitter = 0.75;
+constexpr double max_jitter = 1.0;
 
 } // namespace
 
@@ -50,11 +50,12 @@
 void announcer::set_observers(std::vector<observer_info> observers)
 {
     const host_id before = m_order.empty() ? host_id() : home();
-    const host_id told = m_order.empty() ? host_id() : m_order[m_announced_to];
+    const host_id announced_to =
+        m_order.empty() ? host_id() : m_order[m_announced_to];
     m_settings.observers = std::move(observers);
     order_observers();
-    m_home = internal::place_in(m_order, before);
-    m_announced_to = internal::place_in(m_order, told);
+    m_home = internal::index_in(m_order, before);
+    m_announced_to = internal::index_in(m_order, announced_to);
     const bool moved = m_order.empty() || home() != before;
     if (moved)
     {
@@ -69,8 +70,8 @@
 
 void announcer::order_observers()
 {
-    m_order = internal::order_for(m_record.id.value(), m_settings.region,
-                                  m_settings.observers);
+    m_order = internal::preference_order(m_record.id.value(), m_settings.region,
+                                         m_settings.observers);
 }
 
 std::vector<membership_send>
@@ -82,17 +83,18 @@
         return {};
     }
     const wire::announcement_answer& answer = in.answer();
-    const bool mine = answer.id() == m_record.id.value() &&
-                      answer.started() == m_record.started.value() &&
-                      answer.sequence() == m_record.sequence;
-    return mine ? answered(now, answer) : std::vector<membership_send>{};
+    const bool is_current = answer.id() == m_record.id.value() &&
+                            answer.started() == m_record.started.value() &&
+                            answer.sequence() == m_record.sequence;
+    return is_current ? handle_answer(now, answer)
+                      : std::vector<membership_send>{};
 }
 
 std::vector<membership_send>
-announcer::answered(time_point now, const wire::announcement_answer& in)
+announcer::handle_answer(time_point now, const wire::announcement_answer& in)
 {
     m_waiting_answer = false;
-    m_tries = 0;
+    m_attempts = 0;
     m_failed_observers = 0;
     m_forbidden = in.status() == wire::ANNOUNCEMENT_FORBIDDEN;
     m_is_home_isolated = in.isolated();
@@ -131,7 +133,7 @@
     {
         return {};
     }
-    if (m_waiting_answer && m_tries >= tries_per_observer)
+    if (m_waiting_answer && m_attempts >= attempts_per_observer)
     {
         fail_over(now);
         return {};
@@ -140,7 +142,7 @@
     {
         m_home = 0;
         m_return_at = now + jittered(m_settings.return_after);
-        m_tries = 0;
+        m_attempts = 0;
         return announce(now);
     }
     if (m_accepted && m_is_home_isolated)
@@ -157,7 +159,7 @@
     m_record.state = state;
     m_record.weight = weight;
     ++m_record.sequence;
-    m_tries = 0;
+    m_attempts = 0;
     if (m_superseded || m_order.empty())
     {
         return {};
@@ -176,7 +178,7 @@
     m_announced_to = m_home;
     m_accepted = false;
     m_waiting_answer = true;
-    ++m_tries;
+    ++m_attempts;
     m_next = now + m_settings.answer_timeout;
     wire::membership_message message;
     auto& body = *message.mutable_announce();
@@ -188,7 +190,7 @@
 std::vector<membership_send> announcer::renew(time_point now)
 {
     m_waiting_answer = true;
-    ++m_tries;
+    ++m_attempts;
     m_next = now + m_settings.answer_timeout;
     wire::membership_message message;
     auto& body = *message.mutable_renew();
@@ -203,7 +205,7 @@
 {
     m_waiting_answer = false;
     m_accepted = false;
-    m_tries = 0;
+    m_attempts = 0;
     choose_next_home(now);
     if (++m_failed_observers >= m_order.size())
     {
@@ -222,7 +224,7 @@
 
 duration announcer::jittered(duration time)
 {
-    std::uniform_real_distribution<double> share(least_jitter, most_jitter);
+    std::uniform_real_distribution<double> share(min_jitter, max_jitter);
     return std::chrono::duration_cast<duration>(time * share(m_random));
 }
 
--- a/packages/membership/src/change_batch.hpp
+++ b/packages/membership/src/change_batch.hpp
@@ -14,8 +14,8 @@
 class change_batch
 {
 public:
-    explicit change_batch(std::size_t records_a_message)
-        : m_limit(records_a_message)
+    explicit change_batch(std::size_t records_per_message)
+        : m_limit(records_per_message)
     {
     }
 
--- a/packages/membership/src/member_codec.cpp
+++ b/packages/membership/src/member_codec.cpp
@@ -14,11 +14,11 @@
 namespace
 {
 
-constexpr std::size_t longest_name = 255;
-constexpr std::size_t most_places = 256;
-constexpr std::uint32_t usual_weight = 100;
-constexpr std::uint32_t highest_weight = 1000;
-constexpr std::uint32_t highest_port = 65535;
+constexpr std::size_t max_name_bytes = 255;
+constexpr std::size_t max_places = 256;
+constexpr std::uint32_t default_weight = 100;
+constexpr std::uint32_t max_weight = 1000;
+constexpr std::uint32_t max_port = 65535;
 constexpr std::size_t v4_size = 4;
 constexpr std::size_t v4_offset = ip_address::byte_count - v4_size;
 
@@ -36,7 +36,7 @@
 
 result<endpoint> read_endpoint(const std::string& bytes, std::uint32_t port)
 {
-    if (port > highest_port)
+    if (port > max_port)
     {
         return fail(error_kind::invalid, "port", "is above 65535");
     }
@@ -49,7 +49,8 @@
     }
     if (bytes.size() != ip_address::byte_count)
     {
-        return fail(error_kind::invalid, "address", "has not 4 or 16 bytes");
+        return fail(error_kind::invalid, "address",
+                    "has a size other than 4 or 16 bytes");
     }
     ip_address::bytes_type all{};
     std::memcpy(all.data(), bytes.data(), all.size());
@@ -67,9 +68,10 @@
 
 result<upstream_record> read_version(const wire::member& in)
 {
-    if (in.id().empty() || in.id().size() > longest_name)
+    if (in.id().empty() || in.id().size() > max_name_bytes)
     {
-        return fail(error_kind::invalid, "id", "has not 1 to 255 bytes");
+        return fail(error_kind::invalid, "id",
+                    "has a size outside 1 to 255 bytes");
     }
     if (in.state() > static_cast<std::uint32_t>(upstream_state::gone))
     {
@@ -116,7 +118,7 @@
     write_address(record.agent.address, *out.mutable_address());
     out.set_port(record.agent.port);
     out.set_place(index_of(places, record.where.value()));
-    out.set_weight(record.weight == usual_weight ? 0 : record.weight);
+    out.set_weight(record.weight == default_weight ? 0 : record.weight);
 }
 
 result<upstream_record> read_member(const wire::member& in,
@@ -133,17 +135,17 @@
         return tl::unexpected<error>(agent.error());
     }
     const auto place_count = static_cast<std::uint32_t>(places.size());
-    if (in.place() >= place_count || place_count > most_places)
+    if (in.place() >= place_count || place_count > max_places)
     {
         return fail(error_kind::invalid, "place", "is not in the list");
     }
-    if (in.weight() > highest_weight)
+    if (in.weight() > max_weight)
     {
         return fail(error_kind::invalid, "weight", "is above 1000");
     }
     record->agent = *agent;
     record->where = place_id(places[static_cast<int>(in.place())]);
-    record->weight = in.weight() == 0 ? usual_weight : in.weight();
+    record->weight = in.weight() == 0 ? default_weight : in.weight();
     return record;
 }
 
--- a/packages/membership/src/membership.cpp
+++ b/packages/membership/src/membership.cpp
@@ -1,6 +1,6 @@
 #include "crowlink/base/hash.hpp"
 #include "crowlink/membership/balancer_record.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/membership/membership_host.hpp"
 #include "crowlink/membership/membership_send.hpp"
 
@@ -38,8 +38,8 @@
 namespace internal
 {
 
-void digest_book::replace(service_id service, std::size_t bucket,
-                          std::uint64_t before, std::uint64_t after)
+void digest_table::replace(service_id service, std::size_t bucket,
+                           std::uint64_t before, std::uint64_t after)
 {
     const std::uint64_t change = after - before;
     m_buckets[bucket % bucket_count] += change;
@@ -51,7 +51,7 @@
     }
 }
 
-std::uint64_t digest_book::of(service_id service) const
+std::uint64_t digest_table::of(service_id service) const
 {
     const auto found = m_sums.find(service);
     return found == m_sums.end() ? 0 : found->second;
@@ -59,7 +59,8 @@
 
 std::size_t bucket_of(service_id service, const upstream_id& id)
 {
-    return stable_hash(id.value(), service.value()) % digest_book::bucket_count;
+    return stable_hash(id.value(), service.value()) %
+           digest_table::bucket_count;
 }
 
 } // namespace internal
--- a/packages/membership/src/observer.cpp
+++ b/packages/membership/src/observer.cpp
@@ -53,8 +53,8 @@
     , m_last_tick(now)
     , m_next_heartbeat(now)
     , m_next_digest(now)
-    , m_next_question(now)
-    , m_next_judgement(now)
+    , m_next_digest_request(now)
+    , m_next_detection(now)
     , m_ready(m_settings.peers.empty())
 {
 }
@@ -62,7 +62,7 @@
 void observer::set_peers(time_point now, std::vector<observer_info> peers)
 {
     m_settings.peers = std::move(peers);
-    m_peers.keep(now, m_settings.peers);
+    m_peers.set_peers(now, m_settings.peers);
 }
 
 const upstream_record* observer::find(service_id service,
@@ -83,27 +83,27 @@
     observer_output out;
     if (in.has_announce())
     {
-        announced(now, from, in.announce(), out);
+        handle_announcement(now, from, in.announce(), out);
         return out;
     }
     if (in.has_renew())
     {
-        renewed(now, from, in.renew(), out);
+        handle_renewal(now, from, in.renew(), out);
         return out;
     }
-    if (!m_peers.known(from))
+    if (!m_peers.is_known(from))
     {
         m_metrics.count("membership_strangers_total");
         return out;
     }
     if (in.has_changes())
     {
-        changes(now, in.changes(), out);
+        handle_changes(now, in.changes(), out);
     }
     else if (in.has_heartbeat())
     {
         const bool was_silent = m_peers.silent_directly(now, from);
-        heartbeat(now, from, in.heartbeat());
+        handle_heartbeat(now, from, in.heartbeat());
         if (was_silent)
         {
             send_digest(from, false, out);
@@ -111,13 +111,14 @@
     }
     else if (in.has_digest())
     {
-        digest(now, from, in.digest(), out);
+        handle_digest(now, from, in.digest(), out);
     }
     return out;
 }
 
-void observer::announced(time_point now, const host_id& from,
-                         const wire::announcement& in, observer_output& out)
+void observer::handle_announcement(time_point now, const host_id& from,
+                                   const wire::announcement& in,
+                                   observer_output& out)
 {
     const auto record = internal::read_member(in.record(), in.places());
     if (!record)
@@ -134,7 +135,7 @@
     const auto held = m_records.find(internal::key_of(*record));
     if (!is_gone(*record))
     {
-        end_former_life(now, *record, out);
+        end_predecessor(now, *record, out);
     }
     if (merge(next, out))
     {
@@ -163,8 +164,8 @@
     out.sends.push_back(membership_send{from, answer(body)});
 }
 
-void observer::renewed(time_point now, const host_id& from,
-                       const wire::renewal& in, observer_output& out)
+void observer::handle_renewal(time_point now, const host_id& from,
+                              const wire::renewal& in, observer_output& out)
 {
     auto body = answer_to(in);
     const record_key key{service_id(in.service()), upstream_id(in.id())};
@@ -195,7 +196,7 @@
 observer_output observer::tick(time_point now)
 {
     observer_output out;
-    forgive_pause(now);
+    extend_leases_after_pause(now);
     m_last_tick = now;
     send_changes(out);
     if (now >= m_next_heartbeat)
@@ -208,14 +209,14 @@
         m_next_digest = now + m_settings.digest_every;
         send_next_digest(out);
     }
-    if (!m_ready && now >= m_next_question)
+    if (!m_ready && now >= m_next_digest_request)
     {
-        ask_for_digests(now, out);
+        request_digests(now, out);
     }
-    if (now >= m_next_judgement)
+    if (now >= m_next_detection)
     {
-        m_next_judgement = now + m_settings.judge_every;
-        judge(now, out);
+        m_next_detection = now + m_settings.judge_every;
+        detect_failures(now, out);
     }
     if (now - m_started > m_settings.start_grace && !m_peers.any_heard())
     {
@@ -226,14 +227,14 @@
 
 // Leases that expired during a pause of this process are extended, since the
 // renewals may have been lost.
-void observer::forgive_pause(time_point now)
+void observer::extend_leases_after_pause(time_point now)
 {
     if (now - m_last_tick <= m_settings.lease / 2)
     {
         return;
     }
     m_metrics.count("membership_pauses_total");
-    m_peers.forgive(now);
+    m_peers.restart_timeouts(now);
     for (auto& each : m_records)
     {
         time_point& until = each.second.lease_until;
--- a/packages/membership/src/observer_judgement.cpp
+++ b/packages/membership/src/observer_failure_detection.cpp
@@ -11,7 +11,7 @@
 // Evaluates silence in three steps: marks the silent records, decides which
 // whole data centres are lost, and expires the remaining silent records one by
 // one, under a limit.
-void observer::judge(time_point now, observer_output& out)
+void observer::detect_failures(time_point now, observer_output& out)
 {
     refresh_homes(now);
     m_counts.clear();
@@ -19,19 +19,19 @@
     {
         if (each.second.record.state != upstream_state::gone)
         {
-            count(now, each.second);
+            count_silence(now, each.second);
         }
     }
     report_places(now);
-    m_held_back = seems_cut_off(now);
-    if (m_held_back)
+    m_expiry_suspended = seems_cut_off(now);
+    if (m_expiry_suspended)
     {
         m_metrics.count("membership_held_back_total");
         return;
     }
     if (m_peers.own_region_heard(now))
     {
-        judge_places(now, out);
+        detect_lost_places(now, out);
     }
     expire_silent(now, out);
 }
@@ -97,7 +97,7 @@
     return m_homes.emplace(home, status).first->second;
 }
 
-void observer::count(time_point now, observed_record& held)
+void observer::count_silence(time_point now, observed_record& held)
 {
     home_status& home = status_of(now, held.home);
     place_count& place = m_counts[held.record.where];
@@ -110,21 +110,21 @@
     {
         held.suspect_since = now;
     }
-    if (suspect && m_held_back)
+    if (suspect && m_expiry_suspended)
     {
         held.suspect_since = now + m_settings.orphan_grace;
     }
     held.suspect = suspect;
-    const bool acted_on = settled(now, held);
+    const bool expirable = is_expirable(now, held);
     ++home.population;
     ++place.living;
     place.silent += silent ? 1 : 0;
-    place.settled += acted_on ? 1 : 0;
+    place.expirable += expirable ? 1 : 0;
     place.own += home.own ? 1 : 0;
     place.own_silent += home.own && silent ? 1 : 0;
 }
 
-bool observer::settled(time_point now, const observed_record& held) const
+bool observer::is_expirable(time_point now, const observed_record& held) const
 {
     return held.suspect && now - held.suspect_since >= m_settings.settle;
 }
@@ -149,12 +149,12 @@
     }
 }
 
-void observer::judge_places(time_point now, observer_output& out)
+void observer::detect_lost_places(time_point now, observer_output& out)
 {
-    // A sufficient share must be overdue. Otherwise the failure of an observer
-    // that is home to most of a data centre's members would count as a failure
-    // of the data centre.
-    constexpr std::size_t settled_part = 3;
+    // A sufficient share must be expirable. Otherwise the failure of an
+    // observer that is home to most of a data centre's members would count as a
+    // failure of the data centre.
+    constexpr std::size_t expirable_divisor = 3;
     for (const auto& each : m_counts)
     {
         const place_count& place = each.second;
@@ -164,10 +164,10 @@
         const bool was_lost = m_lost_places.count(each.first) != 0;
         if (was_lost && !silent)
         {
-            place_back(now, each.first, out);
+            place_returned(now, each.first, out);
         }
         const bool enough = place.living >= m_settings.place_members &&
-                            place.settled * settled_part >= place.living;
+                            place.expirable * expirable_divisor >= place.living;
         if (!was_lost && silent && enough)
         {
             place_lost(now, each.first, out);
@@ -178,7 +178,7 @@
     {
         if (m_counts.count(where) == 0)
         {
-            place_back(now, where, out);
+            place_returned(now, where, out);
         }
     }
 }
@@ -194,8 +194,8 @@
 
 // The members of a data centre that has returned get time to renew their
 // leases.
-void observer::place_back(time_point now, const place_id& where,
-                          observer_output& out)
+void observer::place_returned(time_point now, const place_id& where,
+                              observer_output& out)
 {
     m_lost_places.erase(where);
     m_lost_since.erase(where);
@@ -244,8 +244,8 @@
 
 void observer::note_expired(time_point now, const observed_record& held)
 {
-    constexpr std::size_t most_kept = 256;
-    if (m_expired.size() < most_kept)
+    constexpr std::size_t max_kept = 256;
+    if (m_expired.size() < max_kept)
     {
         m_expired.push_back(expired_lease{held.record.service, held.record.id,
                                           held.home, now - held.suspect_since});
@@ -261,14 +261,14 @@
 bool observer::may_expire(time_point now, const observed_record& held)
 {
     const bool gone = held.record.state == upstream_state::gone;
-    if (gone || !settled(now, held))
+    if (gone || !is_expirable(now, held))
     {
         return false;
     }
     home_status& home = status_of(now, held.home);
-    const bool judged_here =
+    const bool expires_here =
         home.own || (home.orphaned && m_peers.own_region_heard(now));
-    if (!judged_here)
+    if (!expires_here)
     {
         return false;
     }
@@ -312,7 +312,7 @@
     }
     const auto share = static_cast<std::size_t>(
         m_settings.expiry_share * static_cast<double>(status.population));
-    if (status.expired_in_window >= std::max(share, m_settings.expiry_least))
+    if (status.expired_in_window >= std::max(share, m_settings.expiry_minimum))
     {
         return false;
     }
--- a/packages/membership/src/observer_order.cpp
+++ b/packages/membership/src/observer_order.cpp
@@ -8,8 +8,9 @@
 namespace crowlink::internal
 {
 
-std::vector<host_id> order_for(std::string_view asker, const region_id& region,
-                               const std::vector<observer_info>& hosts)
+std::vector<host_id> preference_order(std::string_view asker,
+                                      const region_id& region,
+                                      const std::vector<observer_info>& hosts)
 {
     struct choice
     {
@@ -40,7 +41,7 @@
     return order;
 }
 
-std::size_t place_in(const std::vector<host_id>& order, const host_id& host)
+std::size_t index_in(const std::vector<host_id>& order, const host_id& host)
 {
     const auto found = std::find(order.begin(), order.end(), host);
     return found == order.end()
--- a/packages/membership/src/observer_peers.cpp
+++ b/packages/membership/src/observer_peers.cpp
@@ -12,8 +12,8 @@
 using internal::observed_record;
 using internal::record_key;
 
-void observer::changes(time_point now, const wire::observer_changes& in,
-                       observer_output& out)
+void observer::handle_changes(time_point now, const wire::observer_changes& in,
+                              observer_output& out)
 {
     for (const wire::member& member : in.members())
     {
@@ -41,8 +41,8 @@
     }
 }
 
-void observer::heartbeat(time_point now, const host_id& from,
-                         const wire::observer_heartbeat& in)
+void observer::handle_heartbeat(time_point now, const host_id& from,
+                                const wire::observer_heartbeat& in)
 {
     std::vector<host_id> heard;
     for (const std::string& name : in.heard())
@@ -62,7 +62,7 @@
 
 void observer::send_changes(observer_output& out)
 {
-    internal::change_batch batch(m_settings.records_a_message);
+    internal::change_batch batch(m_settings.records_per_message);
     for (const record_key& key : m_unsent)
     {
         const auto found = m_records.find(key);
@@ -112,9 +112,9 @@
     send_digest(m_settings.peers[m_next_peer].id, false, out);
 }
 
-void observer::ask_for_digests(time_point now, observer_output& out)
+void observer::request_digests(time_point now, observer_output& out)
 {
-    m_next_question = now + m_settings.start_digest_every;
+    m_next_digest_request = now + m_settings.start_digest_every;
     for (const observer_info& peer : m_settings.peers)
     {
         send_digest(peer.id, true, out);
@@ -141,23 +141,24 @@
     body.set_asks(asks);
     body.set_ready(m_ready);
     body.set_expired(m_expired_digest);
-    for (const std::uint64_t bucket : m_book.buckets())
+    for (const std::uint64_t bucket : m_digests.buckets())
     {
         body.add_buckets(bucket);
     }
     out.sends.push_back(membership_send{to, std::move(message)});
 }
 
-void observer::digest(time_point now, const host_id& from,
-                      const wire::observer_digest& in, observer_output& out)
+void observer::handle_digest(time_point now, const host_id& from,
+                             const wire::observer_digest& in,
+                             observer_output& out)
 {
-    if (in.buckets_size() != static_cast<int>(m_book.buckets().size()))
+    if (in.buckets_size() != static_cast<int>(m_digests.buckets().size()))
     {
         m_metrics.count("membership_malformed_total");
         return;
     }
     const bool same_living = std::equal(
-        in.buckets().begin(), in.buckets().end(), m_book.buckets().begin());
+        in.buckets().begin(), in.buckets().end(), m_digests.buckets().begin());
     const bool same_expired =
         !in.has_expired() || in.expired() == m_expired_digest;
     if (same_living && same_expired)
@@ -183,7 +184,7 @@
                               observer_output& out)
 {
     const auto chosen = buckets_to_send(in);
-    internal::change_batch batch(m_settings.records_a_message);
+    internal::change_batch batch(m_settings.records_per_message);
     for (const auto& each : m_records)
     {
         if (chosen[each.second.bucket])
@@ -200,8 +201,8 @@
                          observer_output& out) const
 {
     std::size_t left =
-        m_settings.records_a_message * m_settings.messages_a_digest;
-    internal::change_batch batch(m_settings.records_a_message);
+        m_settings.records_per_message * m_settings.messages_per_digest;
+    internal::change_batch batch(m_settings.records_per_message);
     for (const auto& each : m_records)
     {
         if (each.second.record.state == upstream_state::gone && left > 0)
@@ -227,16 +228,16 @@
 // digests.
 std::vector<bool> observer::buckets_to_send(const wire::observer_digest& in)
 {
-    constexpr std::size_t all = internal::digest_book::bucket_count;
+    constexpr std::size_t all = internal::digest_table::bucket_count;
     const std::size_t records =
-        m_settings.records_a_message * m_settings.messages_a_digest;
+        m_settings.records_per_message * m_settings.messages_per_digest;
     std::size_t left = std::max<std::size_t>(
         1, records * all / std::max<std::size_t>(1, m_records.size()));
     std::vector<bool> chosen(all, false);
     for (std::size_t step = 0; step < all && left > 0; ++step)
     {
         const std::size_t bucket = (m_first_bucket + step) % all;
-        if (in.buckets(static_cast<int>(bucket)) != m_book.buckets()[bucket])
+        if (in.buckets(static_cast<int>(bucket)) != m_digests.buckets()[bucket])
         {
             chosen[bucket] = true;
             --left;
--- a/packages/membership/src/observer_records.cpp
+++ b/packages/membership/src/observer_records.cpp
@@ -65,25 +65,25 @@
 // upstream, whose agent may have stopped without announcing its end. Otherwise
 // the previous one would stay a candidate until its lease expires, seconds
 // after its successor has started.
-void observer::end_former_life(time_point now, const upstream_record& present,
+void observer::end_predecessor(time_point now, const upstream_record& present,
                                observer_output& out)
 {
-    const auto known = m_at_agent.find(present.agent);
-    if (known == m_at_agent.end() || known->second == internal::key_of(present))
+    const auto known = m_by_agent.find(present.agent);
+    if (known == m_by_agent.end() || known->second == internal::key_of(present))
     {
         return;
     }
     const record_key key = known->second;
-    const auto former = m_records.find(key);
-    const bool ends = former != m_records.end() &&
-                      !has_ended(former->second.record) &&
-                      former->second.record.agent == present.agent &&
-                      newer(present, former->second.record);
+    const auto predecessor = m_records.find(key);
+    const bool ends = predecessor != m_records.end() &&
+                      !has_ended(predecessor->second.record) &&
+                      predecessor->second.record.agent == present.agent &&
+                      newer(present, predecessor->second.record);
     if (!ends)
     {
         return;
     }
-    observed_record ended = former->second;
+    observed_record ended = predecessor->second;
     ended.record.state = upstream_state::gone;
     ended.record.expired = false;
     // Equals an end announced by the upstream itself, so that nodes do not
@@ -92,7 +92,7 @@
     ended.home = m_settings.self.id;
     ended.gone_at = now;
     ended.suspect = false;
-    store(former->second, std::move(ended), out);
+    store(predecessor->second, std::move(ended), out);
     m_unsent.insert(key);
     m_metrics.count("membership_former_lives_ended_total");
 }
@@ -133,7 +133,7 @@
         internal::bucket_of(next.record.service, next.record.id);
     next.bucket = static_cast<std::uint8_t>(bucket);
     next.hash = version_hash(next);
-    m_book.replace(next.record.service, bucket, held.hash, next.hash);
+    m_digests.replace(next.record.service, bucket, held.hash, next.hash);
     m_expired_digest += expired_hash(next.record) - expired_hash(held.record);
     m_living += is_gone(next.record) ? 0 : 1;
     m_living -= is_gone(held.record) ? 0 : 1;
@@ -153,10 +153,10 @@
 
 void observer::forget_agent(const upstream_record& record)
 {
-    const auto known = m_at_agent.find(record.agent);
-    if (known != m_at_agent.end() && known->second == internal::key_of(record))
+    const auto known = m_by_agent.find(record.agent);
+    if (known != m_by_agent.end() && known->second == internal::key_of(record))
     {
-        m_at_agent.erase(known);
+        m_by_agent.erase(known);
     }
 }
 
@@ -168,11 +168,11 @@
     forget_agent(before);
     if (!is_gone(after))
     {
-        m_at_agent[after.agent] = internal::key_of(after);
+        m_by_agent[after.agent] = internal::key_of(after);
     }
     else if (after.expired)
     {
-        m_at_agent.emplace(after.agent, internal::key_of(after));
+        m_by_agent.emplace(after.agent, internal::key_of(after));
     }
 }
 
--- a/packages/membership/src/part_builder.cpp
+++ b/packages/membership/src/part_builder.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool selection::holds(service_id service) const
+bool selection::contains(service_id service) const
 {
     return (all_services && !is_balancer_group(service)) ||
            services.count(service) != 0;
@@ -54,7 +54,7 @@
     for (; position < log.end() && !full(); ++position)
     {
         const logged_change& change = log.at(position);
-        if (m_session.wants.holds(change.key.service))
+        if (m_session.wants.contains(change.key.service))
         {
             add_change(change, part);
         }
@@ -160,7 +160,7 @@
                                (record != records.end() &&
                                 record->first.service < declared->first);
         found = by_record ? record->first.service : declared->first;
-        if (m_session.wants.holds(found))
+        if (m_session.wants.contains(found))
         {
             return true;
         }
@@ -199,7 +199,7 @@
 {
     m_session.snapshot.active = false;
     part.set_snapshot_end(true);
-    for (std::size_t bucket = 0; bucket < digest_book::bucket_count; ++bucket)
+    for (std::size_t bucket = 0; bucket < digest_table::bucket_count; ++bucket)
     {
         if (m_session.snapshot.covered[bucket])
         {
--- a/packages/membership/src/peer_board.cpp
+++ b/packages/membership/src/peer_liveness.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/membership/peer_board.hpp"
+#include "crowlink/membership/peer_liveness.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace crowlink::internal
 {
 
-peer_board::peer_board(const observer_settings& settings, time_point now)
+peer_liveness::peer_liveness(const observer_settings& settings, time_point now)
     : m_self(settings.self.id)
     , m_region(settings.self.region)
     , m_timeout(settings.peer_timeout)
@@ -17,7 +17,8 @@
     }
 }
 
-void peer_board::keep(time_point now, const std::vector<observer_info>& peers)
+void peer_liveness::set_peers(time_point now,
+                              const std::vector<observer_info>& peers)
 {
     std::map<host_id, known_peer> kept;
     for (const observer_info& each : peers)
@@ -30,14 +31,14 @@
     m_peers = std::move(kept);
 }
 
-time_point peer_board::latest(const known_peer& value)
+time_point peer_liveness::latest(const known_peer& value)
 {
     return std::max(value.direct, value.indirect);
 }
 
-void peer_board::heard(time_point now, const host_id& from,
-                       const std::vector<host_id>& heard_by_it,
-                       std::set<place_id> lost_places)
+void peer_liveness::heard(time_point now, const host_id& from,
+                          const std::vector<host_id>& heard_by_it,
+                          std::set<place_id> lost_places)
 {
     const auto found = m_peers.find(from);
     if (found == m_peers.end())
@@ -61,8 +62,8 @@
     }
 }
 
-bool peer_board::silent(time_point now, const host_id& peer,
-                        duration time) const
+bool peer_liveness::silent(time_point now, const host_id& peer,
+                           duration time) const
 {
     if (peer == m_self)
     {
@@ -73,13 +74,13 @@
     return found == m_peers.end() || now - latest(found->second) > time;
 }
 
-bool peer_board::silent_directly(time_point now, const host_id& peer) const
+bool peer_liveness::silent_directly(time_point now, const host_id& peer) const
 {
     const auto found = m_peers.find(peer);
     return found != m_peers.end() && now - found->second.direct > m_timeout;
 }
 
-bool peer_board::region_cut(time_point now, const host_id& peer) const
+bool peer_liveness::region_cut(time_point now, const host_id& peer) const
 {
     const auto found = m_peers.find(peer);
     if (found == m_peers.end() || found->second.info.region == m_region)
@@ -89,7 +90,7 @@
     return now - region_heard(peer) > m_timeout;
 }
 
-time_point peer_board::region_heard(const host_id& peer) const
+time_point peer_liveness::region_heard(const host_id& peer) const
 {
     const region_id& region = m_peers.at(peer).info.region;
     time_point newest{};
@@ -103,30 +104,31 @@
     return newest;
 }
 
-bool peer_board::reports_lost(const host_id& peer, const place_id& where) const
+bool peer_liveness::reports_lost(const host_id& peer,
+                                 const place_id& where) const
 {
     const auto found = m_peers.find(peer);
     return found != m_peers.end() &&
            found->second.lost_places.count(where) != 0;
 }
 
-std::size_t peer_board::neighbours_heard(time_point now) const
+std::size_t peer_liveness::neighbours_heard(time_point now) const
 {
     std::size_t heard = 0;
     for (const auto& each : m_peers)
     {
-        const bool near = each.second.info.region == m_region;
-        heard += near && now - each.second.direct <= m_timeout ? 1 : 0;
+        const bool is_neighbour = each.second.info.region == m_region;
+        heard += is_neighbour && now - each.second.direct <= m_timeout ? 1 : 0;
     }
     return heard;
 }
 
-bool peer_board::neighbour_heard(time_point now) const
+bool peer_liveness::neighbour_heard(time_point now) const
 {
     return neighbours_heard(now) > 0;
 }
 
-bool peer_board::is_half_of_region(std::size_t observers) const
+bool peer_liveness::is_half_of_region(std::size_t observers) const
 {
     std::size_t all = 1;
     for (const auto& each : m_peers)
@@ -136,23 +138,24 @@
     return observers * 2 >= all;
 }
 
-bool peer_board::own_region_heard(time_point now) const
+bool peer_liveness::own_region_heard(time_point now) const
 {
     return is_half_of_region(neighbours_heard(now) + 1);
 }
 
-bool peer_board::isolated(time_point now) const
+bool peer_liveness::isolated(time_point now) const
 {
     std::size_t hearing = 1;
     for (const auto& each : m_peers)
     {
-        const bool near = each.second.info.region == m_region;
-        hearing += near && now - each.second.hears_this <= m_timeout ? 1 : 0;
+        const bool is_neighbour = each.second.info.region == m_region;
+        hearing +=
+            is_neighbour && now - each.second.hears_this <= m_timeout ? 1 : 0;
     }
     return !is_half_of_region(hearing);
 }
 
-std::vector<host_id> peer_board::directly_heard(time_point now) const
+std::vector<host_id> peer_liveness::directly_heard(time_point now) const
 {
     std::vector<host_id> out;
     for (const auto& each : m_peers)
@@ -165,7 +168,7 @@
     return out;
 }
 
-std::vector<region_age> peer_board::cut_regions(time_point now) const
+std::vector<region_age> peer_liveness::cut_regions(time_point now) const
 {
     std::map<region_id, duration> ages;
     for (const auto& each : m_peers)
@@ -184,7 +187,7 @@
     return out;
 }
 
-void peer_board::forgive(time_point now)
+void peer_liveness::restart_timeouts(time_point now)
 {
     for (auto& each : m_peers)
     {
--- a/packages/membership/src/place_watch.cpp
+++ b/packages/membership/src/place_watch.cpp
@@ -31,20 +31,21 @@
         {
             continue;
         }
-        const bool doubts = place.missed > 0 && !place.is_confirming &&
-                            m_unreachable.count(where) == 0;
-        if (doubts)
+        const bool starts_confirming = place.missed > 0 &&
+                                       !place.is_confirming &&
+                                       m_unreachable.count(where) == 0;
+        if (starts_confirming)
         {
             place.is_confirming = true;
             for (std::uint32_t i = 0; i < m_settings.confirmations; ++i)
             {
-                ask(now, place, probes);
+                send_probe(now, place, probes);
             }
         }
         else if (now >= place.next_probe)
         {
             place.next_probe = now + interval();
-            ask(now, place, probes);
+            send_probe(now, place, probes);
         }
     }
     return probes;
@@ -54,7 +55,7 @@
                               watched_place& place)
 {
     while (!place.unanswered.empty() &&
-           now - place.unanswered.front().at >= m_settings.answer_within)
+           now - place.unanswered.front().at >= m_settings.answer_timeout)
     {
         place.unanswered.pop_front();
         ++place.missed;
@@ -64,14 +65,14 @@
         m_unreachable.insert(where);
         place.is_confirming = false;
     }
-    if (place.missed > m_settings.confirmations + m_settings.patience)
+    if (place.missed > m_settings.confirmations + m_settings.give_up_probes)
     {
         m_given_up.insert(where);
     }
 }
 
-void place_watch::ask(time_point now, watched_place& place,
-                      std::vector<place_probe>& probes)
+void place_watch::send_probe(time_point now, watched_place& place,
+                             std::vector<place_probe>& probes)
 {
     place.next_host = (place.next_host + 1) % place.hosts.size();
     const std::uint32_t number = m_next_number++;
@@ -106,7 +107,7 @@
     constexpr duration second = std::chrono::seconds(1);
     const duration turns =
         second * m_places.size() / m_settings.probes_per_second;
-    return std::max(m_settings.probe_every, turns);
+    return std::max(m_settings.probe_interval, turns);
 }
 
 } // namespace crowlink
--- a/packages/membership/src/published_state.cpp
+++ b/packages/membership/src/published_state.cpp
@@ -42,7 +42,7 @@
         return;
     }
     const record_key key{next.id, upstream_id()};
-    m_book.replace(next.id, bucket_of(next.id, key.id), held.hash, hash);
+    m_digests.replace(next.id, bucket_of(next.id, key.id), held.hash, hash);
     held.declared = next;
     held.removed = false;
     held.hash = hash;
@@ -59,7 +59,8 @@
             continue;
         }
         const record_key key{each.first, upstream_id()};
-        m_book.replace(each.first, bucket_of(each.first, key.id), held.hash, 0);
+        m_digests.replace(each.first, bucket_of(each.first, key.id), held.hash,
+                          0);
         held.removed = true;
         held.hash = 0;
         log(key, held.change, true);
@@ -79,9 +80,9 @@
             continue;
         }
         const std::uint64_t hash = content_hash(held.record, drained);
-        m_book.replace(each.first.service,
-                       bucket_of(each.first.service, each.first.id), held.hash,
-                       hash);
+        m_digests.replace(each.first.service,
+                          bucket_of(each.first.service, each.first.id),
+                          held.hash, hash);
         held.drained = drained;
         held.hash = hash;
         log(each.first, held.change, true);
@@ -99,8 +100,8 @@
     const bool gone = record.state == upstream_state::gone;
     const bool drained = !gone && m_drains.count(record.id) != 0;
     const std::uint64_t hash = content_hash(record, drained);
-    m_book.replace(record.service, bucket_of(record.service, record.id),
-                   held.hash, hash);
+    m_digests.replace(record.service, bucket_of(record.service, record.id),
+                      held.hash, hash);
     held.record = record;
     held.drained = drained;
     held.hash = hash;
--- a/packages/membership/src/publisher.cpp
+++ b/packages/membership/src/publisher.cpp
@@ -10,14 +10,14 @@
 namespace crowlink
 {
 
-using internal::digest_book;
+using internal::digest_table;
 using internal::publisher_session;
 using internal::selection;
 
 namespace
 {
 
-constexpr std::size_t most_listed_services = 65536;
+constexpr std::size_t max_listed_services = 65536;
 
 selection selection_of(const wire::attach& in)
 {
@@ -36,7 +36,7 @@
 
 // Adds the hashes of one service or balancer group to the buckets.
 void add_service(const internal::published_state& state, service_id service,
-                 digest_book::bucket_array& out)
+                 digest_table::bucket_array& out)
 {
     const auto declared = state.services().find(service);
     if (declared != state.services().end())
@@ -55,13 +55,13 @@
 }
 
 // The bucket digests of the services and groups that a node subscribes to.
-digest_book::bucket_array buckets_of(const internal::published_state& state,
-                                     const selection& wants)
+digest_table::bucket_array buckets_of(const internal::published_state& state,
+                                      const selection& wants)
 {
-    digest_book::bucket_array out{};
+    digest_table::bucket_array out{};
     if (wants.all_services)
     {
-        out = state.book().service_buckets();
+        out = state.digests().service_buckets();
     }
     for (const service_id service : wants.services)
     {
@@ -139,7 +139,7 @@
     std::vector<membership_send> out;
     if (in.has_attach_request())
     {
-        attached(now, from, in.attach_request(), out);
+        handle_attach(now, from, in.attach_request(), out);
         return out;
     }
     const auto found = m_sessions.find(from);
@@ -177,24 +177,24 @@
     }
 }
 
-void publisher::attached(time_point now, const host_id& from,
-                         const wire::attach& in,
-                         std::vector<membership_send>& out)
+void publisher::handle_attach(time_point now, const host_id& from,
+                              const wire::attach& in,
+                              std::vector<membership_send>& out)
 {
-    const bool sound =
-        in.services_size() <= static_cast<int>(most_listed_services);
-    const bool is_taken = sound && has_room(from) && will_serve();
-    if (is_taken && may_serve(in))
+    const bool is_valid =
+        in.services_size() <= static_cast<int>(max_listed_services);
+    const bool is_acceptable = is_valid && has_room(from) && will_serve();
+    if (is_acceptable && may_serve(in))
     {
-        begin(now, from, in);
+        start_session(now, from, in);
         return;
     }
-    if (is_taken)
+    if (is_acceptable)
     {
         m_waiting[from] = waiting_node{in, now};
     }
     wire::membership_message refused;
-    refused.mutable_refused()->set_kept(is_taken);
+    refused.mutable_refused()->set_kept(is_acceptable);
     out.push_back(membership_send{from, std::move(refused)});
 }
 
@@ -221,8 +221,8 @@
     return wanted.version() == 0 ? is_sure() : m_ready;
 }
 
-void publisher::begin(time_point now, const host_id& node,
-                      const wire::attach& wanted)
+void publisher::start_session(time_point now, const host_id& node,
+                              const wire::attach& wanted)
 {
     m_waiting.erase(node);
     const auto before = m_sessions.find(node);
@@ -230,9 +230,10 @@
     publisher_session session;
     session.wants = selection_of(wanted);
     session.stream = static_cast<std::uint32_t>(m_random()) | 1U;
-    session.pace = known ? before->second.pace
-                         : internal::token_bucket(m_settings.bytes_a_second,
-                                                  m_settings.burst_bytes, now);
+    session.rate_limit =
+        known ? before->second.rate_limit
+              : internal::token_bucket(m_settings.bytes_a_second,
+                                       m_settings.burst_bytes, now);
     session.bytes = known ? before->second.bytes : 0;
     session.urgent = m_state.urgent().end();
     session.ordinary = m_state.ordinary().end();
@@ -244,9 +245,9 @@
         wanted.buckets_size() == static_cast<int>(buckets.size());
     for (std::size_t index = 0; index < buckets.size(); ++index)
     {
-        const auto mine = static_cast<std::uint32_t>(buckets[index]);
+        const auto own = static_cast<std::uint32_t>(buckets[index]);
         session.snapshot.covered[index] =
-            !compared || wanted.buckets(static_cast<int>(index)) != mine;
+            !compared || wanted.buckets(static_cast<int>(index)) != own;
     }
     m_sessions[node] = std::move(session);
 }
@@ -264,7 +265,7 @@
     {
         if (may_serve(each.wanted))
         {
-            begin(now, node, each.wanted);
+            start_session(now, node, each.wanted);
             continue;
         }
         m_waiting.emplace(node, std::move(each));
--- a/packages/membership/src/publisher_stream.cpp
+++ b/packages/membership/src/publisher_stream.cpp
@@ -11,7 +11,7 @@
 namespace crowlink
 {
 
-using internal::digest_book;
+using internal::digest_table;
 using internal::publisher_session;
 using internal::selection;
 
@@ -20,7 +20,7 @@
 
 // No part is begun for less than this, which keeps the share of the framing
 // low.
-constexpr double least_part_bytes = 768;
+constexpr double min_part_bytes = 768;
 
 std::uint32_t whole_seconds(duration time)
 {
@@ -38,12 +38,12 @@
     return static_cast<std::uint32_t>(std::min<std::int64_t>(count, most));
 }
 
-std::uint64_t root_of(const digest_book& book, const selection& wants)
+std::uint64_t root_of(const digest_table& digests, const selection& wants)
 {
-    std::uint64_t root = wants.all_services ? book.services_total() : 0;
+    std::uint64_t root = wants.all_services ? digests.services_total() : 0;
     for (const service_id service : wants.services)
     {
-        root += book.of(service);
+        root += digests.of(service);
     }
     return root;
 }
@@ -70,7 +70,7 @@
     }
     while (has_news(session))
     {
-        if (session.pace.available(now) < least_part_bytes)
+        if (session.rate_limit.available(now) < min_part_bytes)
         {
             return true;
         }
@@ -127,7 +127,7 @@
                           publisher_session& session,
                           std::vector<membership_send>& out)
 {
-    const double tokens = session.pace.available(now);
+    const double tokens = session.rate_limit.available(now);
     const auto limit =
         std::min(static_cast<std::size_t>(tokens), m_settings.part_bytes) -
         framing_bytes;
@@ -160,7 +160,7 @@
     part.set_stream(session.stream);
     part.set_sequence(++session.sequence);
     const std::size_t size = wire_size(message);
-    session.pace.take(size);
+    session.rate_limit.take(size);
     session.bytes += size;
     session.next_digest = now + m_settings.digest_every;
     out.push_back(membership_send{node, std::move(message)});
@@ -176,7 +176,7 @@
     wire::stream_digest& body = *message.mutable_idle();
     body.set_stream(session.stream);
     body.set_sequence(session.sequence);
-    body.set_root(root_of(m_state.book(), session.wants));
+    body.set_root(root_of(m_state.digests(), session.wants));
     body.set_version(m_state.version().value());
     body.set_document_seconds(whole_seconds(m_document_age));
     body.set_document_ms(whole_milliseconds(m_document_age));
@@ -187,7 +187,7 @@
         to.set_seconds(whole_seconds(each.age));
     }
     const std::size_t size = wire_size(message);
-    session.pace.take(size);
+    session.rate_limit.take(size);
     session.bytes += size;
     out.push_back(membership_send{node, std::move(message)});
 }
--- a/packages/membership/src/subscribed_state.cpp
+++ b/packages/membership/src/subscribed_state.cpp
@@ -35,8 +35,8 @@
 constexpr duration absent_grace = std::chrono::seconds(20);
 // The same if many records are absent at once.
 constexpr duration mass_absent_grace = std::chrono::minutes(5);
-constexpr std::size_t mass_least = 16;
-constexpr std::size_t mass_part = 3;
+constexpr std::size_t mass_absent_minimum = 16;
+constexpr std::size_t mass_absent_divisor = 3;
 
 // Whether a record may replace the held one.
 bool supersedes(const upstream_record& next, const subscribed_record& held)
@@ -45,12 +45,12 @@
     {
         return newer(next, held.record);
     }
-    return is_gone(next) ? !is_gone(held.record) : held.forgotten;
+    return is_gone(next) ? !is_gone(held.record) : held.removed_as_absent;
 }
 
 // The record of a member before its lease expired.
-upstream_record living_form(const upstream_record& expired,
-                            const subscribed_record& held)
+upstream_record record_before_expiry(const upstream_record& expired,
+                                     const subscribed_record& held)
 {
     if (!expired.expired)
     {
@@ -80,7 +80,7 @@
     const bool next = unknown || supersedes(record, held);
     // An old drain mark is better than none for a record that was not known.
     const bool current =
-        unknown || version >= std::max(held.drain_version, m_floor);
+        unknown || version >= std::max(held.drain_version, m_complete_version);
     const bool marks = (next || same) && current;
     const bool mark = marks && drained != held.drained;
     held.generation = generation;
@@ -109,14 +109,15 @@
                                 : loss_reason::ended,
                       record.sequence);
         }
-        held.silent =
-            is_silent ? std::optional(living_form(record, held)) : std::nullopt;
+        held.before_expiry =
+            is_silent ? std::optional(record_before_expiry(record, held))
+                      : std::nullopt;
         held.record = record;
-        held.forgotten = false;
+        held.removed_as_absent = false;
         held.gone_at = now;
     }
     replace_hash(key, held);
-    touch(key.service);
+    mark_changed(key.service);
     return true;
 }
 
@@ -124,7 +125,7 @@
                                     std::uint64_t version,
                                     std::uint32_t generation)
 {
-    if (version < m_floor)
+    if (version < m_complete_version)
     {
         return false;
     }
@@ -140,12 +141,12 @@
     {
         return false;
     }
-    m_book.replace(declared.id, bucket_of(declared.id, upstream_id()),
-                   held.hash, hash);
+    m_digests.replace(declared.id, bucket_of(declared.id, upstream_id()),
+                      held.hash, hash);
     held.declared = declared;
     held.removed = removed;
     held.hash = hash;
-    m_touched.insert(declared.id);
+    m_changed.insert(declared.id);
     return true;
 }
 
@@ -189,7 +190,7 @@
     {
         if (changed.count(each.second.record.where) != 0)
         {
-            touch(each.first.service);
+            mark_changed(each.first.service);
         }
     }
     return true;
@@ -197,7 +198,7 @@
 
 void subscribed_state::sweep(
     time_point now, std::uint64_t version, std::uint32_t generation,
-    const std::bitset<digest_book::bucket_count>& covered)
+    const std::bitset<digest_table::bucket_count>& covered)
 {
     for (auto& each : m_services)
     {
@@ -211,7 +212,8 @@
         }
     }
     const std::size_t absent = count_absent(generation, covered);
-    const bool mass = absent > mass_least && absent * mass_part > m_living;
+    const bool mass =
+        absent > mass_absent_minimum && absent * mass_absent_divisor > m_living;
     const duration grace = mass ? mass_absent_grace : absent_grace;
     for (auto& each : m_records)
     {
@@ -230,20 +232,20 @@
         if (now - *held.absent_since >= grace)
         {
             note_lost(held, loss_reason::absent, held.record.sequence);
-            held.silent = held.record;
+            held.before_expiry = held.record;
             held.record.state = upstream_state::gone;
-            held.forgotten = true;
+            held.removed_as_absent = true;
             held.gone_at = now;
             --m_living;
             replace_hash(each.first, held);
-            touch(each.first.service);
+            mark_changed(each.first.service);
         }
     }
 }
 
 std::size_t subscribed_state::count_absent(
     std::uint32_t generation,
-    const std::bitset<digest_book::bucket_count>& covered) const
+    const std::bitset<digest_table::bucket_count>& covered) const
 {
     return static_cast<std::size_t>(std::count_if(
         m_records.begin(), m_records.end(),
@@ -266,7 +268,7 @@
     for (auto each = m_services.begin(); each != m_services.end();)
     {
         const bool old =
-            each->second.removed && each->second.version <= m_floor;
+            each->second.removed && each->second.version <= m_complete_version;
         each = old ? m_services.erase(each) : std::next(each);
     }
 }
@@ -275,8 +277,8 @@
                                     subscribed_record& held)
 {
     const std::uint64_t hash = content_hash(held.record, held.drained);
-    m_book.replace(key.service, bucket_of(key.service, key.id), held.hash,
-                   hash);
+    m_digests.replace(key.service, bucket_of(key.service, key.id), held.hash,
+                      hash);
     held.hash = hash;
 }
 
@@ -284,8 +286,8 @@
                                  loss_reason reason,
                                  std::uint64_t told_sequence)
 {
-    constexpr std::size_t most_kept = 256;
-    if (m_lost.size() < most_kept)
+    constexpr std::size_t max_kept = 256;
+    if (m_lost.size() < max_kept)
     {
         m_lost.push_back(lost_member{held.record.service, held.record.id,
                                      reason, held.record.sequence,
@@ -294,22 +296,22 @@
 }
 
 // A change of a balancer affects every view that this node holds.
-void subscribed_state::touch(service_id service)
+void subscribed_state::mark_changed(service_id service)
 {
     if (!is_balancer_group(service))
     {
-        m_touched.insert(service);
+        m_changed.insert(service);
         return;
     }
     for (const auto& each : m_services)
     {
-        m_touched.insert(each.first);
+        m_changed.insert(each.first);
     }
 }
 
-std::set<service_id> subscribed_state::take_touched()
+std::set<service_id> subscribed_state::take_changed()
 {
-    return std::exchange(m_touched, {});
+    return std::exchange(m_changed, {});
 }
 
 std::optional<service_view> subscribed_state::view(service_id id) const
@@ -326,12 +328,12 @@
     for (; member != m_records.end() && member->first.service == id; ++member)
     {
         const subscribed_record& held = member->second;
-        upstream_record record = held.silent.value_or(held.record);
+        upstream_record record = held.before_expiry.value_or(held.record);
         if (is_gone(record))
         {
             continue;
         }
-        const bool is_silent = held.silent ||
+        const bool is_silent = held.before_expiry ||
                                m_lost_places.count(record.where) != 0 ||
                                m_unreachable.count(record.where) != 0;
         if (is_silent)
--- a/packages/membership/src/subscriber.cpp
+++ b/packages/membership/src/subscriber.cpp
@@ -12,12 +12,12 @@
 namespace crowlink
 {
 
-using internal::digest_book;
+using internal::digest_table;
 
 namespace
 {
 
-constexpr double least_jitter = 0.5;
+constexpr double min_jitter = 0.5;
 constexpr duration purge_every = std::chrono::seconds(60);
 
 } // namespace
@@ -29,17 +29,17 @@
     , m_backoff(m_settings.backoff_first)
     , m_next_alive(now)
     , m_next_purge(now + purge_every)
-    , m_heard(now)
+    , m_last_heard(now)
 {
     order_publishers();
     if (!m_settings.wants.all_services)
     {
-        m_listed.insert(m_settings.wants.services.begin(),
-                        m_settings.wants.services.end());
+        m_subscribed.insert(m_settings.wants.services.begin(),
+                            m_settings.wants.services.end());
     }
     for (const place_id& where : m_settings.wants.balancers_in)
     {
-        m_listed.insert(balancer_group(where));
+        m_subscribed.insert(balancer_group(where));
     }
     std::uniform_int_distribution<duration::rep> spread(
         0, m_settings.start_spread.count());
@@ -61,7 +61,7 @@
 
 staleness subscriber::age(time_point now) const
 {
-    const duration passed = now - m_heard;
+    const duration passed = now - m_last_heard;
     staleness out;
     out.publisher = passed;
     out.document = m_document_age + passed;
@@ -78,28 +78,28 @@
     subscriber_output out;
     if (m_order.empty() || from != source())
     {
-        leave_stream(from, in, out);
+        end_late_stream(from, in, out);
         return out;
     }
     m_bytes += wire_size(in);
     if (in.has_part())
     {
-        take_part(now, in.part());
-        emit(out);
+        handle_part(now, in.part());
+        collect_changes(out);
     }
     else if (in.has_idle())
     {
-        take_digest(now, in.idle());
+        handle_digest(now, in.idle());
     }
     else if (in.has_ended() && in.ended().stream() == m_stream)
     {
-        repair(now);
+        reattach(now);
     }
     else if (in.has_refused() && m_phase == phase::attaching)
     {
-        take_hosts(in.refused().control_hosts());
+        take_control_hosts(in.refused().control_hosts());
         out.control_hosts = std::exchange(m_control_hosts, std::nullopt);
-        refused(now, in.refused().kept());
+        handle_refusal(now, in.refused().kept());
     }
     return out;
 }
@@ -107,9 +107,9 @@
 // Ends the stream of a publisher that starts to serve a request after the node
 // has attached elsewhere. After an outage of all control hosts this affected
 // every node at one of three control hosts.
-void subscriber::leave_stream(const host_id& from,
-                              const wire::membership_message& in,
-                              subscriber_output& out)
+void subscriber::end_late_stream(const host_id& from,
+                                 const wire::membership_message& in,
+                                 subscriber_output& out)
 {
     if (m_phase != phase::attached || !in.has_part())
     {
@@ -121,7 +121,7 @@
     out.sends.push_back(membership_send{from, std::move(ended)});
 }
 
-void subscriber::take_part(time_point now, const wire::stream_part& in)
+void subscriber::handle_part(time_point now, const wire::stream_part& in)
 {
     if (m_phase == phase::waiting)
     {
@@ -133,7 +133,7 @@
         m_phase = phase::attached;
         m_stream = in.stream();
         m_sequence = 0;
-        m_heard = now;
+        m_last_heard = now;
         m_next_alive = now + m_settings.alive_every;
     }
     if (m_phase != phase::attached || in.stream() != m_stream ||
@@ -141,10 +141,10 @@
     {
         return;
     }
-    m_heard = now;
+    m_last_heard = now;
     if (in.sequence() != m_sequence + 1)
     {
-        repair(now);
+        reattach(now);
         return;
     }
     m_sequence = in.sequence();
@@ -152,7 +152,7 @@
 }
 
 template <class Names>
-void subscriber::take_hosts(const Names& names)
+void subscriber::take_control_hosts(const Names& names)
 {
     if (names.empty())
     {
@@ -163,13 +163,13 @@
     {
         m_control_hosts->emplace_back(name);
     }
-    m_named = {m_control_hosts->begin(), m_control_hosts->end()};
+    m_named_hosts = {m_control_hosts->begin(), m_control_hosts->end()};
 }
 
 void subscriber::apply(time_point now, const wire::stream_part& in)
 {
     note_version(now, in.version());
-    take_hosts(in.control_hosts());
+    take_control_hosts(in.control_hosts());
     if (in.lost_places_set())
     {
         std::set<place_id> lost;
@@ -206,13 +206,13 @@
                                 m_stream);
         }
     }
-    m_filling = in.filling();
+    m_incomplete_service = in.filling();
     if (in.snapshot_end())
     {
-        std::bitset<digest_book::bucket_count> covered;
+        std::bitset<digest_table::bucket_count> covered;
         for (const std::uint32_t bucket : in.covered())
         {
-            covered.set(bucket % digest_book::bucket_count);
+            covered.set(bucket % digest_table::bucket_count);
         }
         m_state.sweep(now, in.version(), m_stream, covered);
         ++m_snapshots;
@@ -220,17 +220,17 @@
     if (in.document_complete())
     {
         m_applied = std::max(m_applied, config_version(in.version()));
-        m_state.set_floor(m_applied.value());
+        m_state.set_complete_version(m_applied.value());
     }
 }
 
-void subscriber::take_digest(time_point now, const wire::stream_digest& in)
+void subscriber::handle_digest(time_point now, const wire::stream_digest& in)
 {
     if (m_phase != phase::attached || in.stream() != m_stream)
     {
         return;
     }
-    m_heard = now;
+    m_last_heard = now;
     note_version(now, in.version());
     m_document_age = std::chrono::milliseconds(in.document_ms());
     m_cut_regions.clear();
@@ -247,7 +247,7 @@
     }
     if (in.sequence() > m_sequence || in.root() != root())
     {
-        repair(now);
+        reattach(now);
         return;
     }
     m_backoff = m_settings.backoff_first;
@@ -268,12 +268,12 @@
 
 std::uint64_t subscriber::root() const
 {
-    const digest_book& book = m_state.book();
+    const digest_table& digests = m_state.digests();
     std::uint64_t sum =
-        m_settings.wants.all_services ? book.services_total() : 0;
-    for (const service_id service : m_listed)
+        m_settings.wants.all_services ? digests.services_total() : 0;
+    for (const service_id service : m_subscribed)
     {
-        sum += book.of(service);
+        sum += digests.of(service);
     }
     return sum;
 }
@@ -283,20 +283,20 @@
 {
     subscriber_output out;
     m_state.set_unreachable(std::move(unreachable), std::move(given_up));
-    emit(out);
+    collect_changes(out);
     return out;
 }
 
 // Adds the views that changed, except for the service whose members are still
 // being received.
-void subscriber::emit(subscriber_output& out)
+void subscriber::collect_changes(subscriber_output& out)
 {
     out.control_hosts = std::exchange(m_control_hosts, std::nullopt);
-    const std::set<service_id> touched = m_state.take_touched();
-    m_pending.insert(touched.begin(), touched.end());
+    const std::set<service_id> changed = m_state.take_changed();
+    m_pending.insert(changed.begin(), changed.end());
     for (auto each = m_pending.begin(); each != m_pending.end();)
     {
-        if (m_filling != 0 && each->value() == m_filling)
+        if (m_incomplete_service != 0 && each->value() == m_incomplete_service)
         {
             ++each;
             continue;
@@ -328,7 +328,7 @@
         m_state.purge(now, m_settings.tombstone_life);
     }
     const bool silent = m_phase == phase::attached &&
-                        now - m_heard > m_settings.silence_timeout;
+                        now - m_last_heard > m_settings.silence_timeout;
     const bool unanswered = m_phase == phase::attaching && now >= m_next;
     const bool behind =
         m_behind_since && now - *m_behind_since > m_settings.behind_timeout;
@@ -359,11 +359,11 @@
     wire::membership_message message;
     wire::attach& body = *message.mutable_attach_request();
     body.set_all_services(m_settings.wants.all_services);
-    for (const service_id service : m_listed)
+    for (const service_id service : m_subscribed)
     {
         body.add_services(service.value());
     }
-    for (const std::uint64_t bucket : m_state.book().buckets())
+    for (const std::uint64_t bucket : m_state.digests().buckets())
     {
         body.add_buckets(static_cast<std::uint32_t>(bucket));
     }
@@ -373,16 +373,16 @@
 
 // Schedules another attach request to the same publisher, which then sends the
 // differences.
-void subscriber::repair(time_point now)
+void subscriber::reattach(time_point now)
 {
     m_phase = phase::waiting;
-    m_filling = 0;
-    wait(now);
+    m_incomplete_service = 0;
+    back_off(now);
 }
 
-void subscriber::wait(time_point now)
+void subscriber::back_off(time_point now)
 {
-    std::uniform_real_distribution<double> share(least_jitter, 1.0);
+    std::uniform_real_distribution<double> share(min_jitter, 1.0);
     m_next =
         now + std::chrono::duration_cast<duration>(m_backoff * share(m_random));
     m_backoff = std::min(m_backoff * 2, m_settings.backoff_limit);
--- a/packages/membership/src/subscriber_publishers.cpp
+++ b/packages/membership/src/subscriber_publishers.cpp
@@ -16,11 +16,11 @@
     const host_id before = m_order.empty() ? host_id() : source();
     m_settings.publishers = std::move(publishers);
     order_publishers();
-    m_source = internal::place_in(m_order, before);
+    m_source = internal::index_in(m_order, before);
     if (m_order.empty() || source() != before)
     {
         m_behind_since.reset();
-        repair(now);
+        reattach(now);
     }
     if (m_phase == phase::waiting)
     {
@@ -30,8 +30,8 @@
 
 void subscriber::order_publishers()
 {
-    m_order = internal::order_for(m_settings.self.value(), m_settings.region,
-                                  m_settings.publishers);
+    m_order = internal::preference_order(
+        m_settings.self.value(), m_settings.region, m_settings.publishers);
 }
 
 const host_id& subscriber::source() const
@@ -41,7 +41,7 @@
 
 void subscriber::connection_lost(time_point now, const host_id& publisher)
 {
-    m_lost.insert(publisher);
+    m_disconnected.insert(publisher);
     if (m_order.empty() || publisher != source() || m_phase == phase::waiting)
     {
         return;
@@ -58,7 +58,7 @@
 
 void subscriber::connection_made(time_point now, const host_id& publisher)
 {
-    m_lost.erase(publisher);
+    m_disconnected.erase(publisher);
     if (m_phase == phase::waiting)
     {
         m_next = std::min(m_next, now);
@@ -67,12 +67,12 @@
 
 bool subscriber::is_reachable(std::size_t at) const
 {
-    return m_lost.count(m_order[at]) == 0;
+    return m_disconnected.count(m_order[at]) == 0;
 }
 
 bool subscriber::is_named(std::size_t at) const
 {
-    return m_named.count(m_order[at]) != 0;
+    return m_named_hosts.count(m_order[at]) != 0;
 }
 
 // Chooses the next publisher that is connected or was not tried yet. Hosts
@@ -101,7 +101,7 @@
 
 // A publisher that keeps the request serves it as soon as it may. It may be cut
 // off from the other control hosts, so the node waits for a limited time.
-void subscriber::refused(time_point now, bool kept)
+void subscriber::handle_refusal(time_point now, bool kept)
 {
     if (kept)
     {
@@ -109,13 +109,13 @@
         m_next = now + m_settings.kept_patience;
         return;
     }
-    const bool knows_better = !m_named.empty() && !is_named(m_source);
+    const bool knows_named_host = !m_named_hosts.empty() && !is_named(m_source);
     ++m_refusals;
     // Every publisher is asked once without a backoff in between.
     const bool has_others = m_refusals < m_order.size();
     const duration backoff = m_backoff;
     next_publisher(now);
-    if (knows_better || has_others)
+    if (knows_named_host || has_others)
     {
         m_next = now;
         m_backoff = backoff;
@@ -128,7 +128,7 @@
 {
     m_source = (m_source + 1) % m_order.size();
     m_behind_since.reset();
-    repair(now);
+    reattach(now);
 }
 
 } // namespace crowlink
--- a/packages/membership/test/announcer_test.cpp
+++ b/packages/membership/test/announcer_test.cpp
@@ -50,7 +50,7 @@
     return out;
 }
 
-// Runs until the announcer sends something.
+// Runs until the announcer sends a message.
 std::vector<membership_send> next_send(announcer& core, time_point& now)
 {
     for (int step = 0; step < 1000; ++step)
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST(announcer, renews_what_was_accepted)
+TEST(announcer, renews_an_accepted_record)
 {
     time_point now = start;
     announcer core(settings(), record("u"), 1, now);
@@ -82,7 +82,7 @@
     EXPECT_LE(now - accepted_at, settings().renew_every + tenth);
 }
 
-TEST(announcer, goes_to_another_observer_with_a_newer_record)
+TEST(announcer, fails_over_with_a_higher_sequence)
 {
     time_point now = start;
     announcer core(settings(), record("u"), 1, now);
@@ -94,7 +94,7 @@
               first[0].message.announce().record().sequence());
 }
 
-TEST(announcer, raises_its_incarnation_when_the_wall_clock_went_back)
+TEST(announcer, raises_its_incarnation_after_the_wall_clock_was_set_back)
 {
     time_point now = start;
     announcer core(settings(), record("u"), 1, now);
@@ -106,7 +106,7 @@
     EXPECT_FALSE(core.superseded());
 }
 
-TEST(announcer, stops_when_a_later_process_took_its_identity)
+TEST(announcer, stops_when_a_later_process_has_its_identity)
 {
     time_point now = start;
     announcer core(settings(), record("u"), 1, now);
@@ -119,7 +119,7 @@
     EXPECT_TRUE(next_send(core, now).empty());
 }
 
-TEST(announcer, announces_its_leaving_at_once)
+TEST(announcer, announces_draining_at_once)
 {
     time_point now = start;
     announcer core(settings(), record("u"), 1, now);
@@ -129,9 +129,9 @@
     EXPECT_EQ(sends[0].message.announce().record().sequence(), 1U);
 }
 
-// Thousands that start at once while no observer answers must neither send in
-// step nor faster and faster.
-TEST(announcer, a_thousand_do_not_stampede)
+// Thousands of announcers that start at once while no observer answers must
+// neither send synchronously nor at an increasing rate.
+TEST(announcer, a_thousand_announcers_without_observers_spread_their_messages)
 {
     std::vector<announcer> cores;
     for (std::uint64_t index = 0; index < 1000; ++index)
@@ -156,12 +156,13 @@
         total += each.second;
         most = each.first < 300 ? most : std::max(most, each.second);
     }
-    // A round is three observers, each tried twice, then a wait of 8 s at most.
+    // A round consists of three observers, each tried twice, and a backoff of
+    // at most 8 s.
     EXPECT_LT(total, 1000U * 120U);
     EXPECT_LT(most, 150U);
 }
 
-TEST(balancer_record, becomes_a_member_of_its_places_group)
+TEST(balancer_record, becomes_a_member_of_the_group_of_its_data_centre)
 {
     balancer_record balancer;
     balancer.id = host_id("b0");
--- a/packages/membership/test/convergence_test.cpp
+++ b/packages/membership/test/convergence_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Every run draws the same cases.
+// A fixed seed, so that every run draws the same cases.
 const int fixed_seed =
     setenv("RC_PARAMS", "seed=20261202 max_success=15 max_size=40", 0);
 
@@ -123,7 +123,8 @@
         const bool out = from == one;
         const bool both = out || to == one;
         const bool of_node = from.value()[0] == 'n' || to.value()[0] == 'n';
-        // Of the last mode's host only the nodes hear: it serves what is old.
+        // In the last mode only the nodes hear the host, so it serves old
+        // state.
         const bool modes[] = {across, out, both, both && !of_node};
         return modes[mode];
     };
@@ -162,7 +163,7 @@
         break;
     case 8:
         cluster.network.loss = what.tenths % 30;
-        cluster.network.doubling = what.tenths % 20;
+        cluster.network.duplication = what.tenths % 20;
         cluster.network.reorder = std::chrono::milliseconds(what.tenths * 5);
         break;
     case 9:
@@ -187,7 +188,7 @@
 {
     cluster.network.drop = nullptr;
     cluster.network.loss = 0;
-    cluster.network.doubling = 0;
+    cluster.network.duplication = 0;
     cluster.network.reorder = duration(0);
     for (std::size_t index = 0; index < cluster.controls.size(); ++index)
     {
@@ -209,15 +210,13 @@
 
 } // namespace
 
-// After any faults and then quiet, every node equals the naive full knowledge;
-// at every step in between nothing goes back at any node.
-// Each part turns the drawn faults into others and runs 15 cases, to stay
-// within a test's time under sanitizers.
+// Each part maps the drawn faults to different ones and runs 15 cases, to stay
+// within the time limit of a test under sanitizers.
 class convergence_part : public ::testing::TestWithParam<int>
 {
 };
 
-TEST_P(convergence_part, holds_after_any_faults)
+TEST_P(convergence_part, nodes_converge_after_arbitrary_faults)
 {
     ASSERT_EQ(fixed_seed, 0);
     const int part = GetParam();
@@ -247,9 +246,9 @@
 
 INSTANTIATE_TEST_SUITE_P(parts, convergence_part, ::testing::Range(0, 10));
 
-// Without digests a lost last message is never repaired: the property above
-// would see it.
-TEST(convergence, needs_digests)
+// Without digests the loss of the last message is never repaired. Shows that
+// the property above detects this.
+TEST(convergence, requires_digests)
 {
     for (const bool with_digests : {true, false})
     {
--- a/packages/membership/test/distribution_test.cpp
+++ b/packages/membership/test/distribution_test.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST(distribution, hundreds_of_missed_changes_are_one_snapshot)
+TEST(distribution, sends_missed_changes_as_one_snapshot)
 {
     fake_cluster cluster(1);
     build(cluster);
@@ -76,11 +76,11 @@
     cluster.run(std::chrono::seconds(60));
     EXPECT_EQ(cluster.difference(), "");
     EXPECT_EQ(cluster.nodes[0].core->snapshots(), before + 1);
-    // Each record once, though it changed five times.
+    // Each record is sent once, though it changed five times.
     EXPECT_EQ(members, upstreams);
 }
 
-TEST(distribution, a_snapshot_holds_only_what_differs)
+TEST(distribution, snapshot_contains_only_differences)
 {
     fake_cluster cluster(2);
     build(cluster);
@@ -102,9 +102,9 @@
     EXPECT_LE(members, 10U);
 }
 
-// A burst of changes never passes the rate at a node, and a change of the
-// document overtakes the ordinary ones that wait.
-TEST(distribution, is_paced_and_lets_the_document_go_first)
+// A burst of changes does not exceed the rate at a node, and a change of the
+// document overtakes pending changes of members.
+TEST(distribution, is_rate_limited_and_sends_document_changes_first)
 {
     fake_cluster cluster(3);
     build(cluster);
@@ -134,7 +134,8 @@
     EXPECT_LT(cluster.longest_message, 40000U);
 }
 
-TEST(distribution, survives_the_restart_of_either_side)
+TEST(distribution,
+     keeps_newer_versions_across_restarts_of_control_hosts_and_nodes)
 {
     fake_cluster cluster(4);
     build(cluster, 40);
@@ -166,7 +167,7 @@
     EXPECT_EQ(cluster.difference(), "");
 }
 
-TEST(distribution, tells_how_old_a_minoritys_document_is)
+TEST(distribution, reports_the_age_of_an_unconfirmed_document)
 {
     fake_cluster cluster(5);
     build(cluster, 4);
@@ -192,7 +193,7 @@
 
 } // namespace
 
-TEST(announcement_gate, refuses_what_the_key_may_not_announce)
+TEST(announcement_gate, refuses_services_that_the_key_may_not_announce)
 {
     const time_point now{std::chrono::hours(1)};
     observer_settings settings;
@@ -216,7 +217,7 @@
     EXPECT_EQ(core.living(), 1U);
 }
 
-TEST(observer, ignores_strangers_and_malformed_records)
+TEST(observer, ignores_unknown_peers_and_malformed_records)
 {
     const time_point now{std::chrono::hours(1)};
     observer_settings settings;
--- a/packages/membership/test/expired_upstream_test.cpp
+++ b/packages/membership/test/expired_upstream_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Three control hosts of one region, some upstreams of one service, two nodes.
+// Three control hosts of one region, seven upstreams of one service, two nodes.
 class expired_upstream : public ::testing::Test
 {
 protected:
@@ -45,7 +45,8 @@
                              { return each.info.id == upstream.core->home(); });
     }
 
-    // Its home stands still for long enough that another one is found.
+    // Pauses the home of an upstream for long enough that the upstream moves to
+    // another one.
     void move_home(const fake_cluster::announced& upstream)
     {
         fake_cluster::control& before = home_of(upstream);
@@ -57,15 +58,17 @@
         EXPECT_EQ(m_cluster.difference(), "");
     }
 
-    // It stops without a word, and its lease runs out.
-    upstream_id lose(fake_cluster::announced& upstream)
+    // Stops an upstream without announcing its end, until its lease has
+    // expired.
+    upstream_id stop_and_expire(fake_cluster::announced& upstream)
     {
         upstream.core.reset();
         m_cluster.run(std::chrono::seconds(40));
         return upstream.first.id;
     }
 
-    // One after the other, each with nothing left of its life before.
+    // Restarts the control hosts one after the other, each without its former
+    // state.
     void restart_control_hosts()
     {
         for (std::size_t index = 0; index < m_cluster.controls.size(); ++index)
@@ -75,7 +78,7 @@
         }
     }
 
-    // From now on only one control host answers nodes.
+    // Lets only one control host answer nodes from now on.
     void let_one_publish(const host_id& host)
     {
         m_cluster.network.drop = [host](const host_id& from, const host_id&,
@@ -87,7 +90,8 @@
         };
     }
 
-    // The state in which a node sees an upstream; gone if it does not.
+    // The state in which a node sees an upstream; gone if the node does not see
+    // it.
     upstream_state seen(std::size_t node, const upstream_id& id) const
     {
         const auto view = m_cluster.nodes[node].core->view(m_service);
@@ -102,8 +106,8 @@
     fake_cluster m_cluster{7};
 };
 
-// A home that exchanges nothing with the other control hosts, and goes on
-// answering its announcers.
+// A home that is cut off from the other control hosts but still answers its
+// announcers.
 class cut_off_home : public expired_upstream
 {
 protected:
@@ -126,7 +130,7 @@
         };
     }
 
-    // Whether both nodes see an upstream ready all the time.
+    // Whether both nodes see an upstream as ready throughout the given time.
     bool stays_ready(const upstream_id& id, duration time)
     {
         const time_point end = m_cluster.now + time;
@@ -146,7 +150,7 @@
 
 } // namespace
 
-TEST_F(cut_off_home, keeps_no_upstream_from_the_others)
+TEST_F(cut_off_home, loses_no_upstream_when_cut_off_in_both_directions)
 {
     cut(m_home,
         [](bool from_home, bool to_home) { return from_home || to_home; });
@@ -157,15 +161,16 @@
     EXPECT_EQ(m_cluster.difference(), "");
 }
 
-TEST_F(cut_off_home, that_is_not_heard_keeps_no_upstream_from_the_others)
+TEST_F(cut_off_home, loses_no_upstream_when_its_messages_are_lost)
 {
     cut(m_home, [](bool from_home, bool) { return from_home; });
     EXPECT_TRUE(stays_ready(m_upstream.first.id, std::chrono::minutes(2)));
     EXPECT_NE(m_upstream.core->home(), m_home);
 }
 
-// Where no control host hears another one, each is as good as the next.
-TEST_F(cut_off_home, is_left_once_in_each_renewal_where_all_are_cut_off)
+// If no control host hears another one, no home is better than another.
+TEST_F(cut_off_home,
+       is_left_at_most_once_per_renewal_when_all_homes_are_cut_off)
 {
     cut(m_home, [](bool, bool) { return true; });
     m_cluster.run(std::chrono::seconds(30));
@@ -177,8 +182,9 @@
     EXPECT_LE(moves, static_cast<std::uint64_t>(renewals) + 1);
 }
 
-// Two halves of a region, each of which expires what is at home in the other.
-TEST(halved_region, takes_no_upstream_for_ended)
+// Two halves of a region, each of which expires the records that have their
+// home in the other.
+TEST(partitioned_region, considers_no_upstream_ended)
 {
     fake_cluster cluster(11);
     service declared;
@@ -210,7 +216,7 @@
             from.value().starts_with('c') && to.value().starts_with('c');
         return between_controls && half.count(from) != half.count(to);
     };
-    // The rules of the cluster check it at every step.
+    // The invariants of the cluster are checked at every step.
     cluster.run(std::chrono::minutes(2));
     cluster.start_node(0);
     cluster.run(std::chrono::minutes(1));
@@ -219,28 +225,28 @@
     EXPECT_EQ(cluster.difference(), "");
 }
 
-TEST_F(expired_upstream, is_silent_where_it_kept_its_home)
+TEST_F(expired_upstream, is_silent_at_its_first_home)
 {
-    const upstream_id id = lose(m_cluster.announcers[0]);
+    const upstream_id id = stop_and_expire(m_cluster.announcers[0]);
     EXPECT_EQ(seen(0, id), upstream_state::silent);
     EXPECT_EQ(seen(1, id), upstream_state::silent);
 }
 
-TEST_F(expired_upstream, is_silent_though_it_changed_its_home_before)
+TEST_F(expired_upstream, is_silent_after_a_change_of_home)
 {
     fake_cluster::announced& lost = m_cluster.announcers[0];
     move_home(lost);
-    const upstream_id id = lose(lost);
+    const upstream_id id = stop_and_expire(lost);
     EXPECT_EQ(seen(0, id), upstream_state::silent);
     EXPECT_EQ(seen(1, id), upstream_state::silent);
 }
 
-TEST_F(expired_upstream, has_ended_once_another_one_runs_at_its_agent)
+TEST_F(expired_upstream, has_ended_once_its_agent_has_a_new_upstream)
 {
     fake_cluster::announced& lost = m_cluster.announcers[0];
     upstream_record next = lost.first;
     next.id = upstream_id("next");
-    const upstream_id id = lose(lost);
+    const upstream_id id = stop_and_expire(lost);
     ASSERT_EQ(seen(0, id), upstream_state::silent);
     m_cluster.add_record(next, "north");
     m_cluster.run(std::chrono::seconds(10));
@@ -253,7 +259,7 @@
 {
     fake_cluster::announced& lost = m_cluster.announcers[0];
     const endpoint agent = lost.first.agent;
-    const upstream_id id = lose(lost);
+    const upstream_id id = stop_and_expire(lost);
     m_cluster.start_node(0);
     m_cluster.run(std::chrono::seconds(10));
     ASSERT_EQ(seen(0, id), upstream_state::silent);
@@ -263,10 +269,10 @@
                             { return each.agent == agent; }));
 }
 
-// A node that starts later and asks only a control host that started later.
-TEST_F(expired_upstream, is_silent_though_a_control_host_started_later)
+// A node that starts later and attaches to a control host that started later.
+TEST_F(expired_upstream, is_silent_after_control_hosts_restarted)
 {
-    const upstream_id id = lose(m_cluster.announcers[0]);
+    const upstream_id id = stop_and_expire(m_cluster.announcers[0]);
     restart_control_hosts();
     let_one_publish(m_cluster.controls[0].info.id);
     m_cluster.start_node(0);
@@ -275,13 +281,14 @@
     EXPECT_EQ(seen(0, id), upstream_state::silent);
 }
 
-// What one control host has forgotten and another one has not is repaired in
-// vain for a moment only.
-TEST_F(expired_upstream, is_forgotten_by_all_control_hosts_after_its_time)
+// Control hosts purge an expired record at slightly different times, so digests
+// may differ for a moment. They must not differ permanently.
+TEST_F(expired_upstream,
+       is_purged_by_all_control_hosts_after_the_tombstone_life)
 {
     m_cluster.observing.tombstone_life = std::chrono::minutes(3);
     restart_control_hosts();
-    const upstream_id id = lose(m_cluster.announcers[0]);
+    const upstream_id id = stop_and_expire(m_cluster.announcers[0]);
     restart_control_hosts();
     ASSERT_NE(m_cluster.controls[0].core->observing().find(m_service, id),
               nullptr);
--- a/packages/membership/test/failure_test.cpp
+++ b/packages/membership/test/failure_test.cpp
@@ -18,7 +18,8 @@
     return out;
 }
 
-// Six control hosts in two regions of two places, and many upstreams.
+// Six control hosts in two regions of three data centres each, and many
+// upstreams.
 void build(fake_cluster& cluster, std::size_t upstreams = many)
 {
     cluster.publishing.bytes_a_second = 20000;
@@ -52,8 +53,8 @@
     return view ? fake_cluster::members(*view).size() : 0;
 }
 
-// Runs and yields the fewest members that any node saw.
-std::size_t fewest(fake_cluster& cluster, duration time)
+// Runs for the given time; returns the fewest members that any node saw.
+std::size_t fewest_members(fake_cluster& cluster, duration time)
 {
     std::size_t least = many;
     const time_point end = cluster.now + time;
@@ -95,17 +96,17 @@
 
 } // namespace
 
-TEST(failure, an_observer_that_dies_expires_nobody)
+TEST(failure, failed_observer_causes_no_expiry)
 {
     fake_cluster cluster(1);
     build(cluster);
     cluster.controls[0].core.reset();
-    EXPECT_EQ(fewest(cluster, std::chrono::seconds(90)), many);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::seconds(90)), many);
     EXPECT_EQ(expired(cluster), 0U);
     EXPECT_EQ(cluster.difference(), "");
 }
 
-TEST(failure, what_did_not_find_a_new_home_expires_after_the_grace)
+TEST(failure, records_without_a_new_home_expire_after_the_orphan_grace)
 {
     fake_cluster cluster(2);
     build(cluster);
@@ -121,19 +122,19 @@
         }
     }
     ASSERT_EQ(lost, 3U);
-    EXPECT_EQ(fewest(cluster, std::chrono::seconds(15)), many);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::seconds(15)), many);
     cluster.run(std::chrono::seconds(60));
     EXPECT_EQ(cluster.difference(), "");
 }
 
-TEST(failure, a_region_cut_off_for_an_hour_is_kept_and_marked)
+TEST(failure, region_cut_off_for_an_hour_is_kept_and_its_age_reported)
 {
-    // Few, since an hour is long under sanitizers.
+    // Few upstreams, since an hour takes long under sanitizers.
     constexpr std::size_t few = 24;
     fake_cluster cluster(3);
     build(cluster, few);
     cluster.network.drop = cut_regions();
-    EXPECT_EQ(fewest(cluster, std::chrono::hours(1)), few);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::hours(1)), few);
     EXPECT_EQ(expired(cluster), 0U);
     const auto age = cluster.nodes[0].core->age(cluster.now);
     ASSERT_EQ(age.regions.size(), 1U);
@@ -154,7 +155,7 @@
 {
 };
 
-TEST_P(place_failure, a_lost_place_is_one_message)
+TEST_P(place_failure, lost_data_centre_is_sent_as_one_message)
 {
     fake_cluster cluster(GetParam());
     build(cluster);
@@ -194,7 +195,7 @@
     EXPECT_EQ(cluster.difference(), "");
 }
 
-TEST_P(place_failure, a_place_that_was_cut_off_comes_back_in_one_message)
+TEST_P(place_failure, returned_data_centre_is_sent_as_one_message)
 {
     fake_cluster cluster(GetParam());
     build(cluster);
@@ -230,11 +231,11 @@
 INSTANTIATE_TEST_SUITE_P(seeds, place_failure,
                          ::testing::Range<std::uint64_t>(1, 21));
 
-TEST(failure, a_control_host_cut_off_alone_expires_nobody)
+TEST(failure, single_control_host_cut_off_causes_no_expiry)
 {
     fake_cluster cluster(6);
     build(cluster);
-    // The nodes alone still hear it.
+    // Only the nodes still hear the host.
     const host_id alone = cluster.nodes[0].core->source();
     cluster.network.drop = [alone](const host_id& from, const host_id& to,
                                    const wire::membership_message&)
@@ -243,9 +244,9 @@
                            to.value().rfind("node", 0) == 0;
         return !nodes && (from == alone || to == alone);
     };
-    EXPECT_EQ(fewest(cluster, std::chrono::minutes(5)), many);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::minutes(5)), many);
     cluster.network.drop = nullptr;
-    EXPECT_EQ(fewest(cluster, std::chrono::minutes(1)), many);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::minutes(1)), many);
     EXPECT_EQ(cluster.difference(), "");
 }
 
@@ -270,7 +271,7 @@
 
 } // namespace
 
-TEST(failure, the_only_control_host_cut_off_keeps_what_it_knew)
+TEST(failure, only_control_host_keeps_its_records_while_cut_off)
 {
     fake_cluster cluster(7);
     build_with_one_control(cluster);
@@ -289,7 +290,7 @@
     }
 }
 
-TEST(failure, the_only_control_host_paused_expires_nobody)
+TEST(failure, only_control_host_expires_no_record_after_a_pause)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -304,18 +305,18 @@
     }
 }
 
-TEST(failure, a_paused_observer_expires_nobody)
+TEST(failure, observers_expire_no_record_after_a_pause)
 {
     fake_cluster cluster(8);
     build(cluster);
-    // Every core stands still for a minute, as after SIGSTOP.
+    // No state machine runs for a minute, as after SIGSTOP.
     cluster.now += std::chrono::seconds(60);
-    EXPECT_EQ(fewest(cluster, std::chrono::seconds(60)), many);
+    EXPECT_EQ(fewest_members(cluster, std::chrono::seconds(60)), many);
     EXPECT_EQ(expired(cluster), 0U);
 }
 
-// The time from a change of the document until every node has it.
-duration time_in_force(fake_cluster& cluster)
+// The time from a change of the document until every node has applied it.
+duration time_to_apply(fake_cluster& cluster)
 {
     constexpr duration limit = std::chrono::minutes(1);
     cluster.version = config_version(cluster.version.value() + 1);
@@ -332,7 +333,7 @@
     return cluster.now - start;
 }
 
-TEST(failure, a_change_gets_past_a_publisher_that_fell_silent)
+TEST(failure, document_change_is_applied_within_7_s_of_a_silent_publisher)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -343,7 +344,7 @@
         {
             each.paused = each.info.id == serving;
         }
-        EXPECT_LE(time_in_force(cluster), std::chrono::seconds(7)) << seed;
+        EXPECT_LE(time_to_apply(cluster), std::chrono::seconds(7)) << seed;
         EXPECT_NE(cluster.nodes[0].core->source(), serving) << seed;
     }
 }
--- a/packages/membership/test/fake_cluster.hpp
+++ b/packages/membership/test/fake_cluster.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "fake_network.hpp"
-#include "node_rules.hpp"
+#include "node_invariants.hpp"
 
 #include <array>
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 namespace crowlink::test
 {
 
-// Control hosts, announcers and nodes over a fake network, with the naive
-// knowledge of what every node should see, and the rules that hold at every
-// step.
+// Control hosts, announcers and nodes over a simulated network. Computes
+// independently what every node should see, and checks the invariants of each
+// node after every step.
 class fake_cluster
 {
 public:
@@ -23,7 +23,7 @@
         observer_info info;
         std::unique_ptr<membership_host> core;
         bool lags = false;
-        // Stands still, as after SIGSTOP; what is sent to it is lost.
+        // Does not run, as after SIGSTOP; messages to it are lost.
         bool paused = false;
     };
     struct announced
@@ -38,7 +38,7 @@
         interest wants;
         region_id region;
         std::unique_ptr<subscriber> core;
-        node_rules rules;
+        node_invariants invariants;
     };
 
     explicit fake_cluster(std::uint64_t seed) : network(seed), random(seed) {}
@@ -119,7 +119,7 @@
         add_record(to_member(record), region);
     }
 
-    // No two agents have one address.
+    // Gives every agent an address of its own.
     endpoint next_address(std::uint16_t port) const
     {
         const std::size_t index = announcers.size();
@@ -169,7 +169,7 @@
         start_node(nodes.size() - 1);
     }
 
-    // A started node knows nothing of its life before.
+    // A node that starts knows nothing of its previous run.
     void start_node(std::size_t index)
     {
         node& each = nodes[index];
@@ -179,7 +179,7 @@
         settings.wants = each.wants;
         settings.publishers = infos();
         each.core = std::make_unique<subscriber>(settings, random(), now);
-        each.rules = node_rules();
+        each.invariants = node_invariants();
     }
 
     void run(duration time)
@@ -217,12 +217,13 @@
             if (each.core)
             {
                 take(each, each.core->tick(now));
-                each.rules.check(each.id, *each.core, m_ended);
+                each.invariants.check(each.id, *each.core, m_ended);
             }
         }
     }
 
-    // Compares every node with the naive full knowledge.
+    // Compares every node with the independently computed state. Returns the
+    // first difference, or an empty string.
     std::string difference() const
     {
         for (const node& each : nodes)
@@ -294,7 +295,7 @@
             if (each.id == to && each.core)
             {
                 take(each, each.core->handle(now, from, message));
-                each.rules.check(each.id, *each.core, m_ended);
+                each.invariants.check(each.id, *each.core, m_ended);
             }
         }
     }
@@ -326,11 +327,12 @@
             {
                 return "declaration " + declared.name;
             }
-            if (wanted && members(*view) != naive_members(declared.id))
+            if (wanted && members(*view) != expected_members(declared.id))
             {
                 return "members of " + declared.name;
             }
-            if (wanted && view->balancers.size() != naive_balancers(each.wants))
+            if (wanted &&
+                view->balancers.size() != expected_balancers(each.wants))
             {
                 return "balancers";
             }
@@ -348,7 +350,7 @@
         return "";
     }
 
-    std::vector<upstream_record> naive_members(service_id service) const
+    std::vector<upstream_record> expected_members(service_id service) const
     {
         std::map<upstream_id, upstream_record> out;
         for (const announced& each : announcers)
@@ -375,7 +377,7 @@
         return sorted;
     }
 
-    std::size_t naive_balancers(const interest& wants) const
+    std::size_t expected_balancers(const interest& wants) const
     {
         std::size_t out = 0;
         for (const announced& each : announcers)
@@ -391,7 +393,7 @@
         return out;
     }
 
-    // Those that said that they end, or whose agent has another upstream.
+    // Upstreams that announced their end, or whose agent has another upstream.
     std::set<upstream_id> m_ended;
 };
 
--- a/packages/membership/test/fake_network.hpp
+++ b/packages/membership/test/fake_network.hpp
@@ -11,8 +11,8 @@
 namespace crowlink::test
 {
 
-// Carries encoded messages between cores with loss, doubling, delay and cuts,
-// all drawn from one seed.
+// Carries encoded messages between the state machines with loss, duplication,
+// delay and partitions, all drawn from one seed.
 class fake_network
 {
 public:
@@ -23,11 +23,11 @@
 
     explicit fake_network(std::uint64_t seed) : m_random(seed) {}
 
-    // Chances out of 100, and the longest extra delay.
+    // Probabilities in percent, and the longest extra delay.
     int loss = 0;
-    int doubling = 0;
+    int duplication = 0;
     duration reorder{};
-    // Messages for which this yields true are dropped.
+    // Messages for which this returns true are dropped.
     filter drop;
 
     void send(time_point now, const host_id& from,
@@ -39,7 +39,7 @@
             {
                 continue;
             }
-            const int copies = chance(doubling) ? 2 : 1;
+            const int copies = chance(duplication) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy)
             {
                 if (!chance(loss))
@@ -52,10 +52,10 @@
 
     void deliver(time_point now, const receiver& to)
     {
-        while (!m_flying.empty() && m_flying.begin()->first.first <= now)
+        while (!m_in_flight.empty() && m_in_flight.begin()->first.first <= now)
         {
-            const flight next = std::move(m_flying.begin()->second);
-            m_flying.erase(m_flying.begin());
+            const flight next = std::move(m_in_flight.begin()->second);
+            m_in_flight.erase(m_in_flight.begin());
             wire::membership_message message;
             message.ParseFromString(next.bytes);
             to(next.from, next.to, message);
@@ -86,14 +86,14 @@
             at += duration(static_cast<duration::rep>(
                 m_random() % static_cast<std::uint64_t>(reorder.count())));
         }
-        m_flying.emplace(
+        m_in_flight.emplace(
             std::make_pair(at, ++m_order),
             flight{from, each.to, each.message.SerializeAsString()});
     }
 
     seeded_random m_random;
     std::size_t m_order = 0;
-    std::map<std::pair<time_point, std::size_t>, flight> m_flying;
+    std::map<std::pair<time_point, std::size_t>, flight> m_in_flight;
 };
 
 } // namespace crowlink::test
--- a/packages/membership/test/merge_test.cpp
+++ b/packages/membership/test/merge_test.cpp
@@ -24,7 +24,8 @@
     return observer(settings, now);
 }
 
-// One record of few upstreams, of few versions, living or gone, at two homes.
+// A random record out of a few upstreams and versions, living or gone, at one
+// of two homes.
 wire::membership_message draw(seeded_random& random)
 {
     wire::membership_message out;
@@ -58,7 +59,7 @@
 namespace
 {
 
-// What an agent with one address announces of its upstream.
+// The announcement of an upstream by an agent; all use one agent address.
 wire::membership_message announced(const char* id, std::uint64_t started,
                                    std::uint64_t sequence)
 {
@@ -82,9 +83,9 @@
 
 } // namespace
 
-// The agent restarted together with its upstream, and knows nothing of the one
-// before.
-TEST(merge, an_upstream_ends_the_one_before_it_at_the_same_agent)
+// The agent restarts together with its upstream and does not know of the
+// previous one, so it can not announce that one's end.
+TEST(merge, upstream_ends_its_predecessor_at_the_same_agent)
 {
     observer core = make_observer();
     core.handle(now, host_id("n"), announced("old", 1, 1000));
@@ -92,17 +93,19 @@
         core.handle(now, host_id("n"), announced("new", 1, 2000));
     EXPECT_EQ(state_of(core, "old"), upstream_state::gone);
     EXPECT_EQ(state_of(core, "new"), upstream_state::ready);
-    // Nodes are told at once, and as if it had said so itself.
+    // Nodes are informed at once, as if the previous upstream had announced its
+    // end.
     ASSERT_EQ(out.records.size(), 2U);
     EXPECT_EQ(out.records[0].id, upstream_id("old"));
     EXPECT_EQ(out.records[0].sequence, 1001U);
-    // A late word of the former one changes nothing.
+    // A late announcement of the previous upstream changes nothing.
     core.handle(now, host_id("n"), announced("old", 1, 1000));
     EXPECT_EQ(state_of(core, "old"), upstream_state::gone);
     EXPECT_EQ(state_of(core, "new"), upstream_state::ready);
 }
 
-TEST(merge, a_late_word_of_the_former_upstream_does_not_end_the_present_one)
+TEST(merge,
+     late_announcement_of_a_predecessor_does_not_end_the_present_upstream)
 {
     observer core = make_observer();
     core.handle(now, host_id("n"), announced("new", 2, 1));
@@ -110,9 +113,9 @@
     EXPECT_EQ(state_of(core, "new"), upstream_state::ready);
 }
 
-// Whatever order records come in, and however often, observers end up alike,
-// and a record that is held is never replaced by an older one.
-TEST(merge, does_not_depend_on_order_or_doubling)
+// Observers reach the same state in whatever order and however often records
+// arrive, and a held record is never replaced by an older one.
+TEST(merge, does_not_depend_on_order_or_duplication)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
--- a/packages/membership/test/node_rules.hpp
+++ b/packages/membership/test/node_invariants.hpp
@@ -10,12 +10,13 @@
 namespace crowlink::test
 {
 
-// What holds at a node at every step, for one life of it.
-class node_rules
+// The invariants of a node, checked at every step of one run of it.
+class node_invariants
 {
 public:
-    // No record, declaration or version of the document goes back, no gone
-    // record returns, and nobody is held for ended who never said so.
+    // Versions of records, declarations and the document never decrease, a gone
+    // record does not return, and no upstream counts as ended unless its end
+    // was announced.
     void check(const host_id& name, const subscriber& node,
                const std::set<upstream_id>& ended)
     {
@@ -46,16 +47,16 @@
             next.started == last.started && next.sequence == last.sequence;
         const bool returned = last.started.value() != 0 && same &&
                               last.state == upstream_state::gone && !is_gone;
-        ASSERT_FALSE(returned && !m_forgotten[key]) << key.id.value();
-        const bool is_held_for_ended = is_gone && !held.silent;
-        ASSERT_FALSE(is_held_for_ended && ended.count(key.id) == 0)
+        ASSERT_FALSE(returned && !m_removed_as_absent[key]) << key.id.value();
+        const bool is_considered_ended = is_gone && !held.before_expiry;
+        ASSERT_FALSE(is_considered_ended && ended.count(key.id) == 0)
             << name.value() << " " << key.id.value();
-        m_forgotten[key] = held.forgotten;
+        m_removed_as_absent[key] = held.removed_as_absent;
         last = next;
     }
 
     std::map<internal::record_key, upstream_record> m_seen;
-    std::map<internal::record_key, bool> m_forgotten;
+    std::map<internal::record_key, bool> m_removed_as_absent;
     std::map<service_id, config_version> m_versions;
     config_version m_applied;
 };
--- a/packages/membership/test/place_watch_test.cpp
+++ b/packages/membership/test/place_watch_test.cpp
@@ -16,13 +16,13 @@
     return endpoint{ip_address::from_v4(bytes), 7735};
 }
 
-// Two other data centres of ten hosts each; answers take 20 ms.
-class reached_places : public ::testing::Test
+// Two other data centres of ten hosts each. An answer arrives at the next step.
+class place_watch_probes : public ::testing::Test
 {
 protected:
     static constexpr duration turn = 50ms;
 
-    reached_places()
+    place_watch_probes()
     {
         place_watch::hosts_type hosts;
         for (std::uint8_t i = 0; i < 10; ++i)
@@ -38,7 +38,8 @@
         return to.address.bytes()[13];
     }
 
-    // Runs turns; a probe is answered unless its place or host is down.
+    // Runs steps. A probe is answered unless its data centre or host is down or
+    // the probe is lost.
     void run(duration time)
     {
         for (duration done{}; done < time; done += turn)
@@ -78,7 +79,7 @@
     std::vector<std::uint32_t> m_on_the_way;
 };
 
-TEST_F(reached_places, a_lost_place_is_known_within_0_4_s_and_no_other_is)
+TEST_F(place_watch_probes, lost_data_centre_alone_is_unreachable_within_0_4_s)
 {
     run(1s);
     m_down_places = {1};
@@ -87,8 +88,9 @@
     EXPECT_TRUE(reaches("south"));
 }
 
-// Hosts that were all stopped for a moment are back by then.
-TEST_F(reached_places, flows_of_a_lost_place_are_given_up_later_than_it_is)
+// Hosts that were all stopped only briefly answer again before the flows are
+// given up.
+TEST_F(place_watch_probes, data_centre_is_given_up_later_than_it_is_unreachable)
 {
     run(1s);
     m_down_places = {1};
@@ -102,7 +104,7 @@
     EXPECT_TRUE(m_watch.given_up().empty());
 }
 
-TEST_F(reached_places, a_place_that_is_back_is_known_within_0_2_s)
+TEST_F(place_watch_probes, returned_data_centre_is_reachable_within_0_2_s)
 {
     m_down_places = {1, 2};
     run(5s);
@@ -114,8 +116,9 @@
     EXPECT_FALSE(reaches("south"));
 }
 
-// A release or a crash takes some hosts of a place, not the place.
-TEST_F(reached_places, some_hosts_that_are_down_do_not_make_a_place_lost)
+// A release or a crash stops some hosts of a data centre, but not all of them.
+TEST_F(place_watch_probes,
+       data_centre_with_half_of_its_hosts_down_stays_reachable)
 {
     for (std::uint8_t i = 0; i < 5; ++i)
     {
@@ -128,7 +131,8 @@
     }
 }
 
-TEST_F(reached_places, every_fourth_probe_lost_does_not_make_a_place_lost)
+TEST_F(place_watch_probes,
+       data_centres_stay_reachable_with_every_fourth_probe_lost)
 {
     m_lose_each = 4;
     for (int i = 0; i < 300; ++i)
@@ -138,8 +142,10 @@
     }
 }
 
-// The answers came meanwhile, and are told before time is looked at.
-TEST_F(reached_places, a_pause_of_this_host_says_nothing_of_others)
+// The answers arrive during the pause and are reported before timeouts are
+// checked.
+TEST_F(place_watch_probes,
+       data_centre_stays_reachable_after_a_pause_of_this_host)
 {
     run(1s);
     m_now += 5s;
@@ -147,7 +153,7 @@
     EXPECT_TRUE(reaches("north"));
 }
 
-TEST_F(reached_places, no_more_probes_are_sent_than_the_bound)
+TEST_F(place_watch_probes, probe_rate_is_limited)
 {
     place_watch::hosts_type hosts;
     for (std::uint8_t i = 0; i < 11; ++i)
@@ -160,7 +166,7 @@
     EXPECT_GE(m_sent, 150U);
 }
 
-TEST_F(reached_places, a_place_without_hosts_is_not_lost)
+TEST_F(place_watch_probes, removed_data_centre_is_not_unreachable)
 {
     m_down_places = {1};
     run(1s);
--- a/packages/membership/test/readiness_test.cpp
+++ b/packages/membership/test/readiness_test.cpp
@@ -35,8 +35,9 @@
 
 } // namespace
 
-// One second for each peer in turn would pass without their asking.
-TEST(readiness, control_hosts_that_started_together_agree_at_once)
+// Guards against waiting for the periodic digests, which take one second per
+// peer. A host that has started asks all peers at a shorter interval.
+TEST(readiness, control_hosts_started_together_become_ready_within_0_7_s)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -51,14 +52,15 @@
     }
 }
 
-TEST(readiness, one_that_restarts_beside_others_holds_their_records_first)
+TEST(readiness,
+     restarted_control_host_is_ready_only_with_all_records_of_its_peers)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         fake_cluster cluster(seed);
         build(cluster);
-        // So that its records are those that the others hold, not announced
-        // anew.
+        // Stops all announcers, so that the restarted host gets its records
+        // from the other hosts and not from new announcements.
         for (auto& each : cluster.announcers)
         {
             each.core.reset();
@@ -73,7 +75,8 @@
     }
 }
 
-TEST(readiness, one_that_hears_nobody_waits)
+TEST(readiness,
+     control_host_that_hears_no_peer_is_ready_only_after_the_start_grace)
 {
     fake_cluster cluster(1);
     build(cluster);
--- a/packages/membership/test/subscriber_test.cpp
+++ b/packages/membership/test/subscriber_test.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-// A node that is fed parts written by hand.
-class subscriber_parts : public ::testing::Test
+// A subscriber that receives stream parts made by the test.
+class subscriber_stream : public ::testing::Test
 {
 protected:
-    subscriber_parts() : m_core(settings(), 1, m_now)
+    subscriber_stream() : m_core(settings(), 1, m_now)
     {
         attach();
         wire::stream_part first = part(1, 5);
@@ -31,7 +31,7 @@
         return out;
     }
 
-    // Waits until the node asks for a stream.
+    // Ticks until the node sends an attach request.
     void attach()
     {
         for (int step = 0; step < 200; ++step)
@@ -101,9 +101,9 @@
     subscriber m_core;
 };
 
-// Members of an evacuated place get nothing new, and nothing that an older
-// order says changes that.
-TEST_F(subscriber_parts, applies_evacuations_in_the_order_of_their_revisions)
+// Members of an evacuated data centre get no new flows, and an order of an
+// older revision does not change that.
+TEST_F(subscriber_stream, ignores_evacuations_of_an_older_revision)
 {
     const auto order = [this](std::uint64_t revision, bool evacuates)
     {
@@ -122,8 +122,9 @@
     EXPECT_EQ(order(3, true), upstream_state::ready);
 }
 
-// A node that attaches is told in the first part, before any member.
-TEST(publisher, tells_each_node_of_evacuations_and_of_their_end)
+// A node that attaches gets the evacuations in the first part, before any
+// member.
+TEST(publisher, sends_evacuations_and_their_end_to_a_node)
 {
     time_point now{std::chrono::hours(1)};
     publisher from(publisher_settings(), 1);
@@ -149,7 +150,7 @@
     EXPECT_EQ(second.front().message.part().evacuated_places_size(), 0);
 }
 
-// Ticks until the node asks for a stream; yields whom it asks.
+// Ticks until the node sends an attach request; returns its recipient.
 host_id next_asked(subscriber& core, time_point& now, duration longest)
 {
     const time_point end = now + longest;
@@ -167,8 +168,9 @@
     return {};
 }
 
-// Settings may name a host that is no control host but knows some.
-TEST(subscriber, learns_control_hosts_from_one_that_refuses_it)
+// The configured hosts may include a host that is no control host but knows
+// some.
+TEST(subscriber, learns_control_hosts_from_a_refusal)
 {
     subscriber_settings settings;
     settings.wants.all_services = true;
@@ -183,7 +185,7 @@
     EXPECT_EQ(*out.control_hosts, std::vector{host_id("b")});
 }
 
-TEST(subscriber, asks_a_named_control_host_at_once_and_before_all_others)
+TEST(subscriber, asks_a_control_host_named_in_a_refusal_first_and_at_once)
 {
     subscriber_settings settings;
     settings.wants.all_services = true;
@@ -202,7 +204,7 @@
     EXPECT_EQ(next_asked(core, now, std::chrono::milliseconds(60)), control);
 }
 
-TEST(subscriber, asks_one_whose_connection_is_back_at_once)
+TEST(subscriber, asks_a_publisher_at_once_when_its_connection_is_back)
 {
     subscriber_settings settings;
     settings.wants.all_services = true;
@@ -218,7 +220,7 @@
               host_id("b"));
 }
 
-TEST(subscriber, leaves_a_publisher_whose_connection_broke_at_once)
+TEST(subscriber, fails_over_at_once_when_the_connection_breaks)
 {
     subscriber_settings settings;
     settings.wants.all_services = true;
@@ -231,14 +233,14 @@
     subscriber core(settings, 1, now);
     const host_id first = next_asked(core, now, std::chrono::seconds(2));
     ASSERT_NE(first, host_id());
-    const host_id bystander(first == host_id("a") ? "b" : "a");
+    const host_id other(first == host_id("a") ? "b" : "a");
 
-    core.connection_lost(now, bystander);
+    core.connection_lost(now, other);
     EXPECT_EQ(core.source(), first);
     core.connection_lost(now, first);
     const host_id second = core.source();
     EXPECT_NE(second, first);
-    // The next one is refused as well, before it was asked.
+    // The connection to the next one is refused as well, before it was asked.
     core.connection_lost(now, second);
     const host_id third = next_asked(core, now, std::chrono::seconds(1));
     EXPECT_NE(third, first);
@@ -248,7 +250,7 @@
 
 } // namespace
 
-TEST_F(subscriber_parts, an_older_record_is_not_taken)
+TEST_F(subscriber_stream, ignores_an_older_record)
 {
     wire::stream_part older = part(2, 5);
     add_member(older, 6, 1);
@@ -257,7 +259,7 @@
               upstream_state::ready);
 }
 
-TEST_F(subscriber_parts, a_gone_record_returns_only_by_a_newer_one)
+TEST_F(subscriber_stream, gone_record_returns_only_with_a_newer_version)
 {
     wire::stream_part gone = part(2, 5);
     add_member(gone, 8, 2);
@@ -273,9 +275,9 @@
     EXPECT_EQ(members(), 1U);
 }
 
-// An upstream that is cut off keeps its flows, and others must go on finding
-// them there.
-TEST_F(subscriber_parts, a_record_whose_lease_ran_out_is_silent_not_gone)
+// An upstream that is cut off keeps its flows, so it must stay in the view for
+// other hosts to find them there.
+TEST_F(subscriber_stream, record_with_expired_lease_is_silent_not_gone)
 {
     const auto state = [this]
     {
@@ -295,36 +297,37 @@
     add_member(back, 8, 0);
     take(back);
     EXPECT_EQ(state(), upstream_state::ready);
-    // Its own word ends it.
+    // An announced end removes it.
     wire::stream_part ended = part(5, 5);
     add_member(ended, 9, 2);
     take(ended);
     EXPECT_EQ(members(), 0U);
 }
 
-// Its flows may go on: that nobody knows it any more is no word of its own.
-TEST_F(subscriber_parts, a_record_that_stays_absent_is_silent_not_gone)
+// Absence from snapshots is no announced end, so the flows of the upstream may
+// continue.
+TEST_F(subscriber_stream, record_absent_from_snapshots_is_silent_not_gone)
 {
-    const auto take_snapshot_without_it = [this]
+    const auto take_snapshot_without_member = [this]
     {
         take(part(9, 5));
         attach();
         wire::stream_part whole = part(1, 5);
         add_service(whole, 4);
         for (std::uint32_t bucket = 0;
-             bucket < internal::digest_book::bucket_count; ++bucket)
+             bucket < internal::digest_table::bucket_count; ++bucket)
         {
             whole.add_covered(bucket);
         }
         whole.set_snapshot_end(true);
         take(whole);
     };
-    take_snapshot_without_it();
+    take_snapshot_without_member();
     ASSERT_EQ(members(), 1U);
     EXPECT_EQ(m_core.view(service_id(1))->members[0].state,
               upstream_state::ready);
     m_now += std::chrono::seconds(30);
-    take_snapshot_without_it();
+    take_snapshot_without_member();
     ASSERT_EQ(members(), 1U);
     EXPECT_EQ(m_core.view(service_id(1))->members[0].state,
               upstream_state::silent);
@@ -335,14 +338,14 @@
               upstream_state::ready);
 }
 
-TEST_F(subscriber_parts, an_older_declaration_is_not_taken)
+TEST_F(subscriber_stream, ignores_an_older_declaration)
 {
     wire::stream_part newer = part(2, 7);
     add_service(newer, 70);
     take(newer);
     EXPECT_EQ(slots(), 70U);
-    // Version 7 is not complete here, so only the declaration itself says that
-    // version 6 is older.
+    // Version 7 is not complete here, so only the version of the declaration
+    // shows that version 6 is older.
     EXPECT_EQ(m_core.applied_version(), config_version(5));
     wire::stream_part older = part(3, 6);
     add_service(older, 60);
@@ -350,7 +353,7 @@
     EXPECT_EQ(slots(), 70U);
 }
 
-TEST_F(subscriber_parts, a_gap_is_not_passed_over)
+TEST_F(subscriber_stream, attaches_again_after_a_gap_in_the_sequence)
 {
     wire::stream_part late = part(3, 8);
     late.set_document_complete(true);
@@ -365,7 +368,7 @@
     EXPECT_EQ(slots(), 80U);
 }
 
-TEST_F(subscriber_parts, a_view_waits_until_its_members_are_complete)
+TEST_F(subscriber_stream, view_is_reported_only_with_complete_members)
 {
     wire::stream_part begun = part(2, 5);
     add_member(begun, 8, 1);
@@ -377,7 +380,7 @@
     EXPECT_EQ(m_core.handle(m_now, host_id("c"), message).changed.size(), 1U);
 }
 
-TEST_F(subscriber_parts, what_a_stranger_sends_is_not_taken)
+TEST_F(subscriber_stream, ignores_parts_from_an_unknown_sender)
 {
     wire::membership_message message;
     *message.mutable_part() = part(2, 9);
--- a/packages/membership/test/waiting_test.cpp
+++ b/packages/membership/test/waiting_test.cpp
@@ -1,6 +1,6 @@
 #include "fake_cluster.hpp"
 
-// Nodes that ask while no control host may tell what is in force.
+// Requests of nodes while no control host may publish its document.
 
 namespace crowlink::test
 {
@@ -25,10 +25,10 @@
     return document;
 }
 
-class waiting_nodes : public ::testing::Test
+class waiting_requests : public ::testing::Test
 {
 protected:
-    waiting_nodes() : m_core(publisher_settings(), 1)
+    waiting_requests() : m_core(publisher_settings(), 1)
     {
         m_core.set_ready(true);
         m_core.set_document_age(std::chrono::hours(1));
@@ -46,7 +46,7 @@
     publisher m_core;
 };
 
-TEST_F(waiting_nodes, one_is_told_nothing_before_the_document_is_sure)
+TEST_F(waiting_requests, request_is_kept_while_the_document_is_unconfirmed)
 {
     EXPECT_TRUE(is_kept(attach_request()));
     m_now += std::chrono::seconds(1);
@@ -55,7 +55,8 @@
     EXPECT_EQ(m_core.waiting(), 1U);
 }
 
-TEST_F(waiting_nodes, one_is_served_at_the_tick_in_which_the_document_is_sure)
+TEST_F(waiting_requests,
+       kept_request_is_served_at_the_tick_after_the_document_is_confirmed)
 {
     ASSERT_TRUE(is_kept(attach_request()));
     m_now += std::chrono::milliseconds(500);
@@ -69,7 +70,7 @@
     EXPECT_EQ(m_core.waiting(), 0U);
 }
 
-TEST_F(waiting_nodes, one_that_has_given_up_is_forgotten)
+TEST_F(waiting_requests, kept_request_is_dropped_after_its_timeout)
 {
     ASSERT_TRUE(is_kept(attach_request()));
     m_now += publisher_settings().waiting_timeout + std::chrono::seconds(1);
@@ -78,7 +79,7 @@
     EXPECT_EQ(m_core.waiting(), 0U);
 }
 
-TEST_F(waiting_nodes, one_that_takes_another_stream_is_served_no_more)
+TEST_F(waiting_requests, stream_ends_when_its_node_reports_it_ended)
 {
     m_core.set_document_age(duration::zero());
     m_core.handle(m_now, host_id("node"), attach_request());
@@ -93,7 +94,7 @@
     EXPECT_EQ(m_core.nodes(), 0U);
 }
 
-TEST_F(waiting_nodes, are_no_more_than_a_control_host_may_serve)
+TEST_F(waiting_requests, kept_requests_are_limited_by_the_node_capacity)
 {
     publisher_settings settings;
     settings.node_capacity = 2;
@@ -110,8 +111,9 @@
     EXPECT_EQ(core.waiting(), 2U);
 }
 
-// Its disk was lost: others will serve long before it has the document.
-TEST_F(waiting_nodes, are_sent_on_by_a_host_that_has_no_document)
+// A host whose disk was lost gets the document later than other hosts may
+// serve.
+TEST_F(waiting_requests, request_is_refused_by_a_host_without_a_document)
 {
     publisher core(publisher_settings(), 1);
     core.set_ready(true);
@@ -123,11 +125,11 @@
     EXPECT_EQ(core.waiting(), 0U);
 }
 
-// A node whose request a control host keeps.
-class kept_node : public ::testing::Test
+// A node whose request is kept by a control host.
+class kept_request : public ::testing::Test
 {
 protected:
-    kept_node() : m_core(settings(), 1, m_now) {}
+    kept_request() : m_core(settings(), 1, m_now) {}
 
     static subscriber_settings settings()
     {
@@ -138,7 +140,7 @@
         return out;
     }
 
-    // Ticks until it asks; yields whom.
+    // Ticks until the node sends an attach request; returns its recipient.
     host_id next_asked(duration longest)
     {
         const time_point end = m_now + longest;
@@ -169,7 +171,7 @@
     subscriber m_core;
 };
 
-TEST_F(kept_node, asks_nobody_else_while_it_is_kept)
+TEST_F(kept_request, node_asks_no_other_publisher_while_its_request_is_kept)
 {
     const host_id first = next_asked(std::chrono::seconds(2));
     ASSERT_NE(first, host_id());
@@ -186,7 +188,7 @@
     EXPECT_EQ(m_core.applied_version(), config_version(9));
 }
 
-TEST_F(kept_node, asks_the_next_one_at_once_when_it_is_sent_on)
+TEST_F(kept_request, refused_node_asks_the_next_publisher_at_once)
 {
     constexpr std::chrono::milliseconds one_tick(50);
     const host_id first = next_asked(std::chrono::seconds(2));
@@ -194,13 +196,13 @@
     const host_id second = next_asked(one_tick);
     EXPECT_NE(second, host_id());
     EXPECT_NE(second, first);
-    // Once all have refused it waits.
+    // Once all have refused, the node backs off.
     refuse(second);
     EXPECT_EQ(next_asked(std::chrono::milliseconds(200)), host_id());
     EXPECT_NE(next_asked(std::chrono::seconds(1)), host_id());
 }
 
-TEST_F(kept_node, tells_one_that_serves_it_too_late)
+TEST_F(kept_request, node_ends_the_stream_of_a_publisher_that_serves_too_late)
 {
     const host_id first = next_asked(std::chrono::seconds(2));
     keep(first);
@@ -218,7 +220,8 @@
     EXPECT_EQ(m_core.source(), second);
 }
 
-TEST_F(kept_node, leaves_one_that_never_may_serve)
+TEST_F(kept_request,
+       node_fails_over_from_a_publisher_that_does_not_serve_in_time)
 {
     const host_id first = next_asked(std::chrono::seconds(2));
     keep(first);
