--- a/bench/membership/large_system.cpp
+++ b/bench/membership/large_system.cpp
@@ -40,7 +40,7 @@
             m_infos.begin(), m_infos.end(), std::back_inserter(observing.peers),
             [&self](const observer_info& each) { return each.id != self.id; });
         publisher_settings publishing;
-        publishing.bytes_a_second = size.bytes_a_second;
+        publishing.bytes_per_second = size.bytes_a_second;
         publishing.burst_bytes = size.burst_bytes;
         m_controls.push_back(std::make_unique<membership_host>(
             observing, publishing, m_random(), m_now));
--- a/bench/membership/slopes.cpp
+++ b/bench/membership/slopes.cpp
@@ -90,7 +90,7 @@
         const processor_time judging;
         for (int tick = 1; tick <= ticks; ++tick)
         {
-            core.tick(start + tick * settings.judge_every);
+            core.tick(start + tick * settings.detection_interval);
         }
         judge.add(static_cast<double>(size), judging.seconds() / ticks);
     }
@@ -109,7 +109,7 @@
     static publisher_settings settings(std::uint32_t bytes_a_second)
     {
         publisher_settings out;
-        out.bytes_a_second = bytes_a_second;
+        out.bytes_per_second = bytes_a_second;
         out.burst_bytes = std::max(out.burst_bytes, bytes_a_second / 10);
         return out;
     }
--- a/packages/daemon/src/control/membership_controller.cpp
+++ b/packages/daemon/src/control/membership_controller.cpp
@@ -25,16 +25,16 @@
     }
     const lease_scale scale(settings);
     core.lease = scale(core.lease);
-    core.settle = scale(core.settle);
-    core.heartbeat_every = scale(core.heartbeat_every);
-    core.digest_every = scale(core.digest_every);
-    core.start_digest_every = scale(core.start_digest_every);
+    core.expiry_delay = scale(core.expiry_delay);
+    core.heartbeat_interval = scale(core.heartbeat_interval);
+    core.digest_interval = scale(core.digest_interval);
+    core.start_digest_interval = scale(core.start_digest_interval);
     core.peer_timeout = scale(core.peer_timeout);
     core.orphan_grace = scale(core.orphan_grace);
     core.expiry_window = scale(core.expiry_window);
     core.confirm_after = scale(core.confirm_after);
     core.report_wait = scale(core.report_wait);
-    core.judge_every = scale(core.judge_every);
+    core.detection_interval = scale(core.detection_interval);
     core.start_grace = scale(core.start_grace);
     return core;
 }
@@ -42,10 +42,10 @@
 publisher_settings to_publisher(const daemon_settings& settings)
 {
     publisher_settings core;
-    core.bytes_a_second = settings.pacing_bytes_per_second;
+    core.bytes_per_second = settings.pacing_bytes_per_second;
     core.burst_bytes = settings.pacing_bytes_per_second;
     const lease_scale scale(settings);
-    core.digest_every = scale(core.digest_every);
+    core.digest_interval = scale(core.digest_interval);
     core.stale_after = scale(core.stale_after);
     core.waiting_timeout = scale(core.waiting_timeout);
     return core;
--- a/packages/daemon/src/control/node_controller.cpp
+++ b/packages/daemon/src/control/node_controller.cpp
@@ -61,9 +61,9 @@
     const lease_scale scale(settings);
     core.silence_timeout = scale(core.silence_timeout);
     core.answer_timeout = scale(core.answer_timeout);
-    core.kept_patience = scale(core.kept_patience);
+    core.kept_request_timeout = scale(core.kept_request_timeout);
     core.stale_after = scale(core.stale_after);
-    core.alive_every = scale(core.alive_every);
+    core.alive_interval = scale(core.alive_interval);
     core.behind_timeout = scale(core.behind_timeout);
     core.backoff_first = scale(core.backoff_first);
     core.backoff_limit = scale(core.backoff_limit);
@@ -77,7 +77,7 @@
     core.observers = control_hosts(settings);
     core.region = settings.host.region;
     const lease_scale scale(settings);
-    core.renew_every = scale(core.renew_every);
+    core.renewal_interval = scale(core.renewal_interval);
     core.answer_timeout = scale(core.answer_timeout);
     core.start_spread = scale(core.start_spread);
     core.backoff_first = scale(core.backoff_first);
--- a/packages/membership/include/crowlink/membership/announcer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/announcer_settings.hpp
@@ -17,7 +17,7 @@
     region_id region;
     // The interval between renewals of a lease. It must be at most a third of
     // the observers' lease.
-    duration renew_every = std::chrono::seconds(2);
+    duration renewal_interval = std::chrono::seconds(2);
     // An observer that has not answered for this long is tried once more, then
     // the announcer fails over to another one.
     duration answer_timeout = std::chrono::seconds(1);
--- a/packages/membership/include/crowlink/membership/observer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/observer_settings.hpp
@@ -19,15 +19,15 @@
     // The delay between the end of a lease and its expiry, so that failures
     // that happen together are evaluated together. It must exceed the
     // announcers' renewal interval.
-    duration settle = std::chrono::milliseconds(2500);
-    duration heartbeat_every = std::chrono::seconds(1);
+    duration expiry_delay = std::chrono::milliseconds(2500);
+    duration heartbeat_interval = std::chrono::seconds(1);
     // The interval between digests. The peers are sent one in turn.
-    duration digest_every = std::chrono::seconds(1);
+    duration digest_interval = std::chrono::seconds(1);
     // The interval at which an observer that has just started asks every peer
     // for a digest. It may not publish until a digest equals its own, so after
     // a restart of all observers every node waits for this. A digest takes 1
     // KB.
-    duration start_digest_every = std::chrono::milliseconds(100);
+    duration start_digest_interval = std::chrono::milliseconds(100);
     // A peer that no observer heard for this long counts as failed.
     duration peer_timeout = std::chrono::seconds(5);
     // The time that announcers have to find a new home when theirs has failed,
@@ -54,7 +54,7 @@
     // When a home reports a data centre as lost, the other homes have this long
     // to report it as well.
     duration report_wait = std::chrono::seconds(4);
-    duration judge_every = std::chrono::milliseconds(500);
+    duration detection_interval = std::chrono::milliseconds(500);
     // A started observer may publish once its digest equals that of a peer that
     // may publish, or those of a majority together with peers that have also
     // just started. It may also publish after this time if it heard no peer at
--- a/packages/membership/include/crowlink/membership/publisher_settings.hpp
+++ b/packages/membership/include/crowlink/membership/publisher_settings.hpp
@@ -13,12 +13,12 @@
 {
     // The average rate and the burst for each node. In no second is a node sent
     // more than their sum.
-    std::uint32_t bytes_a_second = 4096;
+    std::uint32_t bytes_per_second = 4096;
     std::uint32_t burst_bytes = 1024;
     // The largest message, framing included.
     std::size_t part_bytes = 2048;
     // The interval between digests on an idle stream.
-    duration digest_every = std::chrono::seconds(2);
+    duration digest_interval = std::chrono::seconds(2);
     // A node without a document is not served once this host has not been able
     // to confirm for this long that its own document is the newest.
     duration stale_after = std::chrono::seconds(4);
--- a/packages/membership/include/crowlink/membership/subscriber_settings.hpp
+++ b/packages/membership/include/crowlink/membership/subscriber_settings.hpp
@@ -27,8 +27,8 @@
     // How long the node waits for a publisher that keeps its request but may
     // not serve yet. An election takes less; a publisher that is cut off is
     // left after this time.
-    duration kept_patience = std::chrono::seconds(2);
-    duration alive_every = std::chrono::seconds(5);
+    duration kept_request_timeout = std::chrono::seconds(2);
+    duration alive_interval = std::chrono::seconds(5);
     // A publisher that has not been able to confirm for this long that its
     // document is the newest is left, at most once per silence timeout: if all
     // are cut off from each other, any of them still distributes members.
--- a/packages/membership/src/announcer.cpp
+++ b/packages/membership/src/announcer.cpp
@@ -122,7 +122,7 @@
     m_accepted = true;
     m_ever_accepted = true;
     m_backoff = m_settings.backoff_first;
-    m_next = now + jittered(m_settings.renew_every);
+    m_next = now + jittered(m_settings.renewal_interval);
     return {};
 }
 
--- a/packages/membership/src/observer.cpp
+++ b/packages/membership/src/observer.cpp
@@ -201,12 +201,12 @@
     send_changes(out);
     if (now >= m_next_heartbeat)
     {
-        m_next_heartbeat = now + m_settings.heartbeat_every;
+        m_next_heartbeat = now + m_settings.heartbeat_interval;
         send_heartbeats(now, out);
     }
     if (now >= m_next_digest)
     {
-        m_next_digest = now + m_settings.digest_every;
+        m_next_digest = now + m_settings.digest_interval;
         send_next_digest(out);
     }
     if (!m_ready && now >= m_next_digest_request)
@@ -215,7 +215,7 @@
     }
     if (now >= m_next_detection)
     {
-        m_next_detection = now + m_settings.judge_every;
+        m_next_detection = now + m_settings.detection_interval;
         detect_failures(now, out);
     }
     if (now - m_started > m_settings.start_grace && !m_peers.any_heard())
--- a/packages/membership/src/observer_failure_detection.cpp
+++ b/packages/membership/src/observer_failure_detection.cpp
@@ -126,7 +126,7 @@
 
 bool observer::is_expirable(time_point now, const observed_record& held) const
 {
-    return held.suspect && now - held.suspect_since >= m_settings.settle;
+    return held.suspect && now - held.suspect_since >= m_settings.expiry_delay;
 }
 
 // Reports the data centres of which this home lost all or nearly all leases to
@@ -305,7 +305,8 @@
 bool observer::within_cap(time_point now, const observed_record& held,
                           home_status& status) const
 {
-    const duration confirmed = m_settings.settle + m_settings.confirm_after;
+    const duration confirmed =
+        m_settings.expiry_delay + m_settings.confirm_after;
     if (now - held.suspect_since >= confirmed && m_peers.own_region_heard(now))
     {
         return true;
--- a/packages/membership/src/observer_peers.cpp
+++ b/packages/membership/src/observer_peers.cpp
@@ -114,7 +114,7 @@
 
 void observer::request_digests(time_point now, observer_output& out)
 {
-    m_next_digest_request = now + m_settings.start_digest_every;
+    m_next_digest_request = now + m_settings.start_digest_interval;
     for (const observer_info& peer : m_settings.peers)
     {
         send_digest(peer.id, true, out);
--- a/packages/membership/src/publisher.cpp
+++ b/packages/membership/src/publisher.cpp
@@ -232,13 +232,13 @@
     session.stream = static_cast<std::uint32_t>(m_random()) | 1U;
     session.rate_limit =
         known ? before->second.rate_limit
-              : internal::token_bucket(m_settings.bytes_a_second,
+              : internal::token_bucket(m_settings.bytes_per_second,
                                        m_settings.burst_bytes, now);
     session.bytes = known ? before->second.bytes : 0;
     session.urgent = m_state.urgent().end();
     session.ordinary = m_state.ordinary().end();
     session.heard = now;
-    session.next_digest = now + m_settings.digest_every;
+    session.next_digest = now + m_settings.digest_interval;
     session.snapshot.active = true;
     const auto buckets = buckets_of(m_state, session.wants);
     const bool compared =
--- a/packages/membership/src/publisher_stream.cpp
+++ b/packages/membership/src/publisher_stream.cpp
@@ -162,7 +162,7 @@
     const std::size_t size = wire_size(message);
     session.rate_limit.take(size);
     session.bytes += size;
-    session.next_digest = now + m_settings.digest_every;
+    session.next_digest = now + m_settings.digest_interval;
     out.push_back(membership_send{node, std::move(message)});
     return true;
 }
@@ -171,7 +171,7 @@
                             publisher_session& session,
                             std::vector<membership_send>& out) const
 {
-    session.next_digest = now + m_settings.digest_every;
+    session.next_digest = now + m_settings.digest_interval;
     wire::membership_message message;
     wire::stream_digest& body = *message.mutable_idle();
     body.set_stream(session.stream);
--- a/packages/membership/src/subscriber.cpp
+++ b/packages/membership/src/subscriber.cpp
@@ -134,7 +134,7 @@
         m_stream = in.stream();
         m_sequence = 0;
         m_last_heard = now;
-        m_next_alive = now + m_settings.alive_every;
+        m_next_alive = now + m_settings.alive_interval;
     }
     if (m_phase != phase::attached || in.stream() != m_stream ||
         in.sequence() <= m_sequence)
@@ -342,7 +342,7 @@
     }
     if (m_phase == phase::attached && now >= m_next_alive)
     {
-        m_next_alive = now + m_settings.alive_every;
+        m_next_alive = now + m_settings.alive_interval;
         wire::membership_message message;
         message.mutable_alive()->set_stream(m_stream);
         message.mutable_alive()->set_version(m_applied.value());
--- a/packages/membership/src/subscriber_publishers.cpp
+++ b/packages/membership/src/subscriber_publishers.cpp
@@ -106,7 +106,7 @@
     if (kept)
     {
         m_refusals = 0;
-        m_next = now + m_settings.kept_patience;
+        m_next = now + m_settings.kept_request_timeout;
         return;
     }
     const bool knows_named_host = !m_named_hosts.empty() && !is_named(m_source);
--- a/packages/membership/test/announcer_test.cpp
+++ b/packages/membership/test/announcer_test.cpp
@@ -79,7 +79,7 @@
     EXPECT_TRUE(core.accepted());
     const time_point accepted_at = now;
     EXPECT_TRUE(next_send(core, now)[0].message.has_renew());
-    EXPECT_LE(now - accepted_at, settings().renew_every + tenth);
+    EXPECT_LE(now - accepted_at, settings().renewal_interval + tenth);
 }
 
 TEST(announcer, fails_over_with_a_higher_sequence)
--- a/packages/membership/test/expired_upstream_test.cpp
+++ b/packages/membership/test/expired_upstream_test.cpp
@@ -177,8 +177,8 @@
     const std::uint64_t before = m_upstream.core->record().sequence;
     EXPECT_TRUE(stays_ready(m_upstream.first.id, std::chrono::minutes(2)));
     const std::uint64_t moves = m_upstream.core->record().sequence - before;
-    const auto renewals =
-        std::chrono::minutes(2) / (announcer_settings().renew_every * 3 / 4);
+    const auto renewals = std::chrono::minutes(2) /
+                          (announcer_settings().renewal_interval * 3 / 4);
     EXPECT_LE(moves, static_cast<std::uint64_t>(renewals) + 1);
 }
 
--- a/packages/membership/test/failure_test.cpp
+++ b/packages/membership/test/failure_test.cpp
@@ -22,7 +22,7 @@
 // upstreams.
 void build(fake_cluster& cluster, std::size_t upstreams = many)
 {
-    cluster.publishing.bytes_a_second = 20000;
+    cluster.publishing.bytes_per_second = 20000;
     cluster.document.services.push_back(declared_service());
     for (const char* region : {"north", "south"})
     {
