--- a/packages/daemon/src/control/membership_controller.hpp
+++ b/packages/daemon/src/control/membership_controller.hpp
@@ -4,7 +4,7 @@
 #include "control/control_links.hpp"
 #include "control/node_board.hpp"
 #include "crowlink/base/log_sink.hpp"
-#include "crowlink/membership/announcement_gate.hpp"
+#include "crowlink/membership/announcement_filter.hpp"
 #include "crowlink/membership/membership_host.hpp"
 
 #include <map>
@@ -56,7 +56,7 @@
     log_sink& m_log;
     membership_host m_core;
     bool m_is_sure = false;
-    announcement_gate<granted_announcements> m_gate;
+    announcement_filter<granted_announcements> m_gate;
     board_reader<applied_document> m_document;
     board_reader<applied_evacuations> m_evacuations;
     board_reader<std::vector<host_id>> m_members;
--- a/packages/membership/include/crowlink/membership.hpp
+++ b/packages/membership/include/crowlink/membership.hpp
@@ -11,14 +11,14 @@
 //   balancer_record.hpp      the record of a balancer, and balancer groups
 //   announcer.hpp            announces one record and renews its lease
 //   announcement_policy.hpp  which key may announce which service
-//   announcement_gate.hpp    refuses announcements against the policy
+//   announcement_filter.hpp  refuses announcements against the policy
 //   observer.hpp             the newest record of every member, leases, expiry
 //   publisher.hpp            paced streams to the nodes
 //   subscriber.hpp           what a node knows, as service views
 //   membership_host.hpp      an observer with its publisher
 //   *_settings.hpp           the settings of each of them
 
-#include "crowlink/membership/announcement_gate.hpp"
+#include "crowlink/membership/announcement_filter.hpp"
 #include "crowlink/membership/announcement_policy.hpp"
 #include "crowlink/membership/announcer.hpp"
 #include "crowlink/membership/balancer_record.hpp"
--- a/packages/membership/include/crowlink/membership/announcement_gate.hpp
+++ b/packages/membership/include/crowlink/membership/announcement_filter.hpp
@@ -13,10 +13,10 @@
 // Passes messages on to an observer, but refuses and counts announcements of
 // services that the sender's key may not announce.
 template <announcement_policy Policy>
-class announcement_gate
+class announcement_filter
 {
 public:
-    explicit announcement_gate(Policy policy) : m_policy(std::move(policy)) {}
+    explicit announcement_filter(Policy policy) : m_policy(std::move(policy)) {}
 
     observer_output handle(observer& core, time_point now, const host_id& from,
                            const key_identity& key,
--- a/packages/membership/include/crowlink/membership/membership_host.hpp
+++ b/packages/membership/include/crowlink/membership/membership_host.hpp
@@ -22,7 +22,7 @@
     std::vector<membership_send> tick(time_point now);
 
     // Publishes and returns the output for a message that came through an
-    // announcement_gate.
+    // announcement_filter.
     std::vector<membership_send> take(time_point now, observer_output out);
 
     void document_changed(config_version version, const system_document& next)
--- a/packages/membership/test/distribution_test.cpp
+++ b/packages/membership/test/distribution_test.cpp
@@ -193,13 +193,13 @@
 
 } // namespace
 
-TEST(announcement_gate, refuses_services_that_the_key_may_not_announce)
+TEST(announcement_filter, refuses_services_that_the_key_may_not_announce)
 {
     const time_point now{std::chrono::hours(1)};
     observer_settings settings;
     settings.self.id = host_id("c");
     observer core(settings, now);
-    announcement_gate<only_service_two> gate{only_service_two{}};
+    announcement_filter<only_service_two> gate{only_service_two{}};
     for (const std::uint32_t service : {1U, 2U})
     {
         upstream_record record;
