--- a/packages/daemon/src/control/membership_controller.cpp
+++ b/packages/daemon/src/control/membership_controller.cpp
@@ -151,11 +151,11 @@
 void membership_controller::log_publishing(const blackboard& board)
 {
     const publisher& publishing = m_core.publishing();
-    if (publishing.is_sure() == m_is_sure)
+    if (publishing.may_serve_new_nodes() == m_is_sure)
     {
         return;
     }
-    m_is_sure = publishing.is_sure();
+    m_is_sure = publishing.may_serve_new_nodes();
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
         board.document_age.get());
     m_log.write(log_line(log_level::info, "publishing")
@@ -172,7 +172,7 @@
     {
         const auto doubted =
             std::chrono::duration_cast<std::chrono::milliseconds>(
-                each.doubted_for);
+                each.suspected_for);
         m_log.write(log_line(log_level::info, "lease_expired")
                         .field("upstream", each.id.value())
                         .field("service", each.service.value())
--- a/packages/membership/include/crowlink/membership/expired_lease.hpp
+++ b/packages/membership/include/crowlink/membership/expired_lease.hpp
@@ -15,7 +15,7 @@
     upstream_id id;
     // The observer that held the lease, and how long the member was suspected.
     host_id home;
-    duration doubted_for{};
+    duration suspected_for{};
 
     friend auto operator<=>(const expired_lease&,
                             const expired_lease&) = default;
--- a/packages/membership/include/crowlink/membership/publisher.hpp
+++ b/packages/membership/include/crowlink/membership/publisher.hpp
@@ -59,7 +59,7 @@
     std::size_t waiting() const { return m_waiting.size(); }
     // Whether a node without a document may be served: the publisher is ready
     // and its document was confirmed recently enough.
-    bool is_sure() const
+    bool may_serve_new_nodes() const
     {
         return m_ready && m_document_age <= m_settings.stale_after;
     }
--- a/packages/membership/src/publisher.cpp
+++ b/packages/membership/src/publisher.cpp
@@ -203,7 +203,7 @@
 // long before it, so nodes need not wait for this host.
 bool publisher::will_serve() const
 {
-    return is_sure() || m_state.version() > config_version();
+    return may_serve_new_nodes() || m_state.version() > config_version();
 }
 
 bool publisher::has_room(const host_id& node) const
@@ -218,7 +218,7 @@
 // superseded.
 bool publisher::may_serve(const wire::attach& wanted) const
 {
-    return wanted.version() == 0 ? is_sure() : m_ready;
+    return wanted.version() == 0 ? may_serve_new_nodes() : m_ready;
 }
 
 void publisher::start_session(time_point now, const host_id& node,
