--- a/packages/membership/include/crowlink/membership/announcement_gate.hpp
+++ b/packages/membership/include/crowlink/membership/announcement_filter.hpp
@@ -10,13 +10,13 @@
 namespace crowlink
 {
 
-// An observer's door: passes messages on, but refuses and counts announcements
-// of services that the sender's key may not announce.
+// Passes messages on to an observer, but refuses and counts announcements of
+// services that the sender's key may not announce.
 template <announcement_policy Policy>
-class announcement_gate
+class announcement_filter
 {
 public:
-    explicit announcement_gate(Policy policy) : m_policy(std::move(policy)) {}
+    explicit announcement_filter(Policy policy) : m_policy(std::move(policy)) {}
 
     observer_output handle(observer& core, time_point now, const host_id& from,
                            const key_identity& key,
@@ -30,7 +30,7 @@
         return refuse_announcement(from, in);
     }
 
-    // Announcements and renewals that were refused.
+    // The number of refused announcements and renewals.
     std::uint64_t refused() const { return m_refused; }
 
     void replace_policy(Policy policy) { m_policy = std::move(policy); }
--- a/packages/membership/include/crowlink/membership/published_state.hpp
+++ b/packages/membership/include/crowlink/membership/published_state.hpp
@@ -2,7 +2,7 @@
 
 #include "crowlink/base/time.hpp"
 #include "crowlink/membership/change_log.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/model/service.hpp"
 #include "crowlink/model/system_document.hpp"
 #include "crowlink/model/upstream_record.hpp"
@@ -15,7 +15,7 @@
 namespace crowlink::internal
 {
 
-// A record as nodes should know it.
+// A record as it is published to nodes.
 struct published_record
 {
     upstream_record record;
@@ -25,7 +25,7 @@
     std::uint64_t change = 0;
 };
 
-// A service's declaration as nodes should know it.
+// A service's declaration as it is published to nodes.
 struct published_service
 {
     service declared;
@@ -34,8 +34,8 @@
     std::uint64_t change = 0;
 };
 
-// Everything that a publisher knows, with the latest changes in two logs:
-// urgent ones (declarations, drains, members that leave) go first.
+// The state that a publisher distributes, with the latest changes in two logs.
+// Urgent changes (declarations, drains, members that leave) are sent first.
 class published_state
 {
 public:
@@ -44,7 +44,7 @@
     // Ignores a version that is not newer.
     void set_document(config_version version, const system_document& next);
     void set_record(time_point now, const upstream_record& record);
-    // Drops gone records past their life.
+    // Drops gone records that are older than the tombstone life.
     void purge(time_point now);
 
     config_version version() const { return m_version; }
@@ -58,7 +58,7 @@
     }
     const change_log& urgent() const { return m_urgent; }
     const change_log& ordinary() const { return m_ordinary; }
-    const digest_book& book() const { return m_book; }
+    const digest_table& digests() const { return m_digests; }
 
 private:
     struct tombstone
@@ -80,7 +80,7 @@
     std::uint64_t m_changes = 0;
     change_log m_urgent;
     change_log m_ordinary;
-    digest_book m_book;
+    digest_table m_digests;
     std::deque<tombstone> m_tombstones;
 };
 
--- a/packages/membership/include/crowlink/membership/subscribed_state.hpp
+++ b/packages/membership/include/crowlink/membership/subscribed_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "crowlink/base/time.hpp"
-#include "crowlink/membership/digest_book.hpp"
+#include "crowlink/membership/digest_table.hpp"
 #include "crowlink/membership/lost_member.hpp"
 #include "crowlink/membership/record_key.hpp"
 #include "crowlink/model/service_view.hpp"
@@ -17,27 +17,27 @@
 namespace crowlink::internal
 {
 
-// A record as a node knows it.
+// A record as held by a node.
 struct subscribed_record
 {
     upstream_record record;
     bool drained = false;
-    // The document's version that the drain mark is from.
+    // The version of the document that the drain mark comes from.
     std::uint64_t drain_version = 0;
     std::uint64_t hash = 0;
-    // The stream that confirmed it last.
+    // The stream that contained it last.
     std::uint32_t generation = 0;
-    // What it was before its lease ran out, where it did not end by its own
-    // word.
-    std::optional<upstream_record> silent;
-    // A publisher's snapshot did not name it, first at this time.
+    // The record before its lease expired. Not set if its end was announced.
+    std::optional<upstream_record> before_expiry;
+    // When a publisher's snapshot first lacked it.
     std::optional<time_point> absent_since;
-    // It is gone only because it stayed absent: the same version may return.
-    bool forgotten = false;
+    // It is gone only because snapshots lacked it, so the same version may
+    // return.
+    bool removed_as_absent = false;
     time_point gone_at{};
 };
 
-// A service's declaration as a node knows it.
+// A service's declaration as held by a node.
 struct subscribed_service
 {
     service declared;
@@ -47,40 +47,44 @@
     std::uint32_t generation = 0;
 };
 
-// What a node knows. Nothing in it is replaced by an older version.
+// The state held by a node. Nothing in it is replaced by an older version.
 class subscribed_state
 {
 public:
-    // Each yields whether the node's views change by it.
+    // Each returns whether the views of this node change.
     bool take_record(time_point now, const upstream_record& record,
                      bool drained, std::uint64_t version,
                      std::uint32_t generation);
     bool take_service(const service& declared, bool removed,
                       std::uint64_t version, std::uint32_t generation);
     bool set_lost_places(std::set<place_id> lost);
-    // The data centres that this host itself does not reach, and those of them
-    // whose flows it gives up.
+    // The data centres that this host does not reach itself, and those of them
+    // whose flows are given up.
     bool set_unreachable(std::set<place_id> unreachable,
                          std::set<place_id> given_up);
-    // Ignores a revision that is lower than the one it has.
+    // Ignores a revision that is lower than the one held.
     bool set_evacuated(std::uint64_t revision, std::set<place_id> evacuated);
 
-    // The version of the document that is in force as a whole: nothing that an
-    // older document says is taken in from now on.
-    void set_floor(std::uint64_t version) { m_floor = version; }
+    // Sets the version of the document that is completely applied. Content of
+    // older documents is ignored from then on.
+    void set_complete_version(std::uint64_t version)
+    {
+        m_complete_version = version;
+    }
 
-    // Handles what a snapshot of these buckets did not name.
+    // Handles the items in the covered buckets that the snapshot did not
+    // contain.
     void sweep(time_point now, std::uint64_t version, std::uint32_t generation,
-               const std::bitset<digest_book::bucket_count>& covered);
+               const std::bitset<digest_table::bucket_count>& covered);
 
-    // Drops gone records past their life, and services that were removed.
+    // Drops gone records older than the given life, and removed services.
     void purge(time_point now, duration life);
 
-    // The services whose views changed since the last call.
-    std::set<service_id> take_touched();
+    // Returns the services whose views changed since the last call.
+    std::set<service_id> take_changed();
 
-    // The members that were found not to be there any more since the last
-    // call; at most 256 of them.
+    // Returns the members that were removed, or whose lease was found to have
+    // expired, since the last call; at most 256 of them.
     std::vector<lost_member> take_lost() { return std::exchange(m_lost, {}); }
 
     std::optional<service_view> view(service_id id) const;
@@ -93,7 +97,7 @@
         return m_records;
     }
     const std::set<place_id>& lost_places() const { return m_lost_places; }
-    const digest_book& book() const { return m_book; }
+    const digest_table& digests() const { return m_digests; }
     std::size_t living() const { return m_living; }
 
     std::uint64_t evacuations_revision() const
@@ -105,12 +109,12 @@
 private:
     bool replace_places(std::set<place_id>& held, std::set<place_id> next);
     void replace_hash(const record_key& key, subscribed_record& held);
-    void touch(service_id service);
+    void mark_changed(service_id service);
     void note_lost(const subscribed_record& held, loss_reason reason,
                    std::uint64_t told_sequence);
     std::size_t
     count_absent(std::uint32_t generation,
-                 const std::bitset<digest_book::bucket_count>& covered) const;
+                 const std::bitset<digest_table::bucket_count>& covered) const;
 
     std::map<record_key, subscribed_record> m_records;
     std::map<service_id, subscribed_service> m_services;
@@ -119,11 +123,11 @@
     std::set<place_id> m_given_up;
     std::uint64_t m_evacuations_revision = 0;
     std::set<place_id> m_evacuated;
-    std::set<service_id> m_touched;
+    std::set<service_id> m_changed;
     std::vector<lost_member> m_lost;
-    digest_book m_book;
+    digest_table m_digests;
     std::size_t m_living = 0;
-    std::uint64_t m_floor = 0;
+    std::uint64_t m_complete_version = 0;
 };
 
 } // namespace crowlink::internal
--- a/packages/membership/src/change_batch.hpp
+++ b/packages/membership/src/change_batch.hpp
@@ -10,12 +10,12 @@
 namespace crowlink::internal
 {
 
-// Collects records for other observers into messages of a bounded size.
+// Collects records for other observers into messages of bounded size.
 class change_batch
 {
 public:
-    explicit change_batch(std::size_t records_a_message)
-        : m_limit(records_a_message)
+    explicit change_batch(std::size_t records_per_message)
+        : m_limit(records_per_message)
     {
     }
 
--- a/packages/membership/src/observer_judgement.cpp
+++ b/packages/membership/src/observer_failure_detection.cpp
@@ -8,9 +8,10 @@
 
 using internal::observed_record;
 
-// Silence is judged in three steps: mark what is silent, decide which whole
-// places are lost, then expire one by one what remains, under a cap.
-void observer::judge(time_point now, observer_output& out)
+// Evaluates silence in three steps: marks the silent records, decides which
+// whole data centres are lost, and expires the remaining silent records one by
+// one, under a limit.
+void observer::detect_failures(time_point now, observer_output& out)
 {
     refresh_homes(now);
     m_counts.clear();
@@ -18,26 +19,27 @@
     {
         if (each.second.record.state != upstream_state::gone)
         {
-            count(now, each.second);
+            count_silence(now, each.second);
         }
     }
     report_places(now);
-    m_held_back = seems_cut_off(now);
-    if (m_held_back)
+    m_expiry_suspended = seems_cut_off(now);
+    if (m_expiry_suspended)
     {
         m_metrics.count("membership_held_back_total");
         return;
     }
     if (m_peers.own_region_heard(now))
     {
-        judge_places(now, out);
+        detect_lost_places(now, out);
     }
     expire_silent(now, out);
 }
 
-// Whether the silence is more likely this host's own: most of its leases ran
+// Whether the silence is probably this host's own fault: most of its leases ran
 // out while it hears less than half of its region's observers, or nearly all
-// while nobody could confirm it. What is known is then kept as it is.
+// ran out while no neighbour could confirm it. All records are then kept
+// unchanged.
 bool observer::seems_cut_off(time_point now) const
 {
     constexpr std::size_t least_leases = 3;
@@ -69,7 +71,7 @@
     m_homes.clear();
     for (const auto& each : before)
     {
-        // A home without records is forgotten.
+        // Homes without records are dropped.
         if (each.second.population != 0 && !next_window)
         {
             status_of(now, each.first).expired_in_window =
@@ -95,7 +97,7 @@
     return m_homes.emplace(home, status).first->second;
 }
 
-void observer::count(time_point now, observed_record& held)
+void observer::count_silence(time_point now, observed_record& held)
 {
     home_status& home = status_of(now, held.home);
     place_count& place = m_counts[held.record.where];
@@ -108,27 +110,27 @@
     {
         held.suspect_since = now;
     }
-    if (suspect && m_held_back)
+    if (suspect && m_expiry_suspended)
     {
         held.suspect_since = now + m_settings.orphan_grace;
     }
     held.suspect = suspect;
-    const bool acted_on = settled(now, held);
+    const bool expirable = is_expirable(now, held);
     ++home.population;
     ++place.living;
     place.silent += silent ? 1 : 0;
-    place.settled += acted_on ? 1 : 0;
+    place.expirable += expirable ? 1 : 0;
     place.own += home.own ? 1 : 0;
     place.own_silent += home.own && silent ? 1 : 0;
 }
 
-bool observer::settled(time_point now, const observed_record& held) const
+bool observer::is_expirable(time_point now, const observed_record& held) const
 {
-    return held.suspect && now - held.suspect_since >= m_settings.settle;
+    return held.suspect && now - held.suspect_since >= m_settings.expiry_delay;
 }
 
-// Reports to the other observers the places of which this home has lost all or
-// nearly all leases, and keeps the time at which the report began.
+// Reports the data centres of which this home lost all or nearly all leases to
+// the other observers, and keeps the time at which each report began.
 void observer::report_places(time_point now)
 {
     for (const auto& each : m_counts)
@@ -147,11 +149,12 @@
     }
 }
 
-void observer::judge_places(time_point now, observer_output& out)
+void observer::detect_lost_places(time_point now, observer_output& out)
 {
-    // The settled ones must be a fair part, so that the death of an observer
-    // that is home to most of a place does not count as the place's.
-    constexpr std::size_t settled_part = 3;
+    // A sufficient share must be expirable. Otherwise the failure of an
+    // observer that is home to most of a data centre's members would count as a
+    // failure of the data centre.
+    constexpr std::size_t expirable_divisor = 3;
     for (const auto& each : m_counts)
     {
         const place_count& place = each.second;
@@ -161,10 +164,10 @@
         const bool was_lost = m_lost_places.count(each.first) != 0;
         if (was_lost && !silent)
         {
-            place_back(now, each.first, out);
+            place_returned(now, each.first, out);
         }
         const bool enough = place.living >= m_settings.place_members &&
-                            place.settled * settled_part >= place.living;
+                            place.expirable * expirable_divisor >= place.living;
         if (!was_lost && silent && enough)
         {
             place_lost(now, each.first, out);
@@ -175,7 +178,7 @@
     {
         if (m_counts.count(where) == 0)
         {
-            place_back(now, where, out);
+            place_returned(now, where, out);
         }
     }
 }
@@ -189,9 +192,10 @@
     out.places.push_back(place_change{where, true});
 }
 
-// The members of a place that is back get the time to say so themselves.
-void observer::place_back(time_point now, const place_id& where,
-                          observer_output& out)
+// The members of a data centre that has returned get time to renew their
+// leases.
+void observer::place_returned(time_point now, const place_id& where,
+                              observer_output& out)
 {
     m_lost_places.erase(where);
     m_lost_since.erase(where);
@@ -227,7 +231,8 @@
             const bool own = next.home == m_settings.self.id;
             store(each->second, std::move(next), out);
             m_metrics.count("membership_expired_total");
-            // Of a dead home's records every observer judges by itself.
+            // The records of a failed home are expired by every observer by
+            // itself, so only own ones are sent.
             if (own)
             {
                 m_unsent.insert(each->first);
@@ -239,8 +244,8 @@
 
 void observer::note_expired(time_point now, const observed_record& held)
 {
-    constexpr std::size_t most_kept = 256;
-    if (m_expired.size() < most_kept)
+    constexpr std::size_t max_kept = 256;
+    if (m_expired.size() < max_kept)
     {
         m_expired.push_back(expired_lease{held.record.service, held.record.id,
                                           held.home, now - held.suspect_since});
@@ -256,14 +261,14 @@
 bool observer::may_expire(time_point now, const observed_record& held)
 {
     const bool gone = held.record.state == upstream_state::gone;
-    if (gone || !settled(now, held))
+    if (gone || !is_expirable(now, held))
     {
         return false;
     }
     home_status& home = status_of(now, held.home);
-    const bool judged_here =
+    const bool expires_here =
         home.own || (home.orphaned && m_peers.own_region_heard(now));
-    if (!judged_here)
+    if (!expires_here)
     {
         return false;
     }
@@ -280,9 +285,9 @@
     return within_cap(now, held, home);
 }
 
-// Whether a place that this home reports may yet turn out to be lost: the other
-// homes get some time to report it too, and twice as long once half of it is
-// silent.
+// Whether a data centre that this home reports may still turn out to be lost.
+// The other homes have some time to report it, too, and twice as long if half
+// of its members are silent.
 bool observer::may_be_whole_place(time_point now, const place_id& where) const
 {
     const auto report = m_own_reports.find(where);
@@ -300,14 +305,15 @@
 bool observer::within_cap(time_point now, const observed_record& held,
                           home_status& status) const
 {
-    const duration confirmed = m_settings.settle + m_settings.confirm_after;
+    const duration confirmed =
+        m_settings.expiry_delay + m_settings.confirm_after;
     if (now - held.suspect_since >= confirmed && m_peers.own_region_heard(now))
     {
         return true;
     }
     const auto share = static_cast<std::size_t>(
         m_settings.expiry_share * static_cast<double>(status.population));
-    if (status.expired_in_window >= std::max(share, m_settings.expiry_least))
+    if (status.expired_in_window >= std::max(share, m_settings.expiry_minimum))
     {
         return false;
     }
--- a/packages/membership/src/part_builder.cpp
+++ b/packages/membership/src/part_builder.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-// Tag and length of a message within the part.
+// Tag and length of a nested message in the part.
 constexpr std::size_t nested_bytes = 3;
 
 } // namespace
 
-bool selection::holds(service_id service) const
+bool selection::contains(service_id service) const
 {
     return (all_services && !is_balancer_group(service)) ||
            services.count(service) != 0;
@@ -54,14 +54,14 @@
     for (; position < log.end() && !full(); ++position)
     {
         const logged_change& change = log.at(position);
-        if (m_session.wants.holds(change.key.service))
+        if (m_session.wants.contains(change.key.service))
         {
             add_change(change, part);
         }
     }
 }
 
-// Adds what is current, unless a later entry of a log will.
+// Adds the current state of an item, unless a later log entry covers it.
 void part_builder::add_change(const logged_change& change,
                               wire::stream_part& part)
 {
@@ -83,8 +83,8 @@
     }
 }
 
-// Walks declarations and records in one order, service by service: of each
-// first its declaration, then its members.
+// Walks declarations and records in one order: for each service its
+// declaration, then its members.
 void part_builder::add_snapshot(wire::stream_part& part)
 {
     snapshot_cursor& cursor = m_session.snapshot;
@@ -112,8 +112,8 @@
     part.set_filling(cursor.next.service.value());
 }
 
-// Adds the members of the service that the cursor stands at; past the last one
-// the cursor moves to the next service.
+// Adds the members of the service at the cursor. After the last one the cursor
+// moves to the next service.
 void part_builder::add_members(wire::stream_part& part)
 {
     snapshot_cursor& cursor = m_session.snapshot;
@@ -128,8 +128,9 @@
             cursor.next = record->first;
             return;
         }
-        // Digests leave out what is gone, so that a node that starts would not
-        // hear of those that may live on.
+        // Digests leave out gone records. Expired ones are always sent, since a
+        // node that starts would otherwise not learn of members that may still
+        // be alive.
         if (cursor.covered[bucket_of(service, record->first.id)] ||
             record->second.record.expired)
         {
@@ -140,7 +141,7 @@
     cursor.next = record_key{service_id(service.value() + 1), upstream_id()};
 }
 
-// The first service at or after a number that is wanted and known.
+// The first service at or after an id that is subscribed to and known.
 bool part_builder::next_service(service_id from, service_id& found) const
 {
     const auto& services = m_state.services();
@@ -159,7 +160,7 @@
                                (record != records.end() &&
                                 record->first.service < declared->first);
         found = by_record ? record->first.service : declared->first;
-        if (m_session.wants.holds(found))
+        if (m_session.wants.contains(found))
         {
             return true;
         }
@@ -198,7 +199,7 @@
 {
     m_session.snapshot.active = false;
     part.set_snapshot_end(true);
-    for (std::size_t bucket = 0; bucket < digest_book::bucket_count; ++bucket)
+    for (std::size_t bucket = 0; bucket < digest_table::bucket_count; ++bucket)
     {
         if (m_session.snapshot.covered[bucket])
         {
--- a/packages/membership/src/publisher_stream.cpp
+++ b/packages/membership/src/publisher_stream.cpp
@@ -6,20 +6,21 @@
 #include <limits>
 #include <utility>
 
-// What a publisher sends on the streams of its nodes.
+// The publisher's streams to its nodes.
 
 namespace crowlink
 {
 
-using internal::digest_book;
+using internal::digest_table;
 using internal::publisher_session;
 using internal::selection;
 
 namespace
 {
 
-// A part is not begun for less than this; it keeps the share of framing low.
-constexpr double least_part_bytes = 768;
+// No part is begun for less than this, which keeps the share of the framing
+// low.
+constexpr double min_part_bytes = 768;
 
 std::uint32_t whole_seconds(duration time)
 {
@@ -28,7 +29,7 @@
     return static_cast<std::uint32_t>(seconds);
 }
 
-// Bounded, since a document that was never confirmed is very old.
+// Saturates, since a document that was never confirmed is very old.
 std::uint32_t whole_milliseconds(duration time)
 {
     constexpr std::int64_t most = std::numeric_limits<std::uint32_t>::max();
@@ -37,19 +38,19 @@
     return static_cast<std::uint32_t>(std::min<std::int64_t>(count, most));
 }
 
-std::uint64_t root_of(const digest_book& book, const selection& wants)
+std::uint64_t root_of(const digest_table& digests, const selection& wants)
 {
-    std::uint64_t root = wants.all_services ? book.services_total() : 0;
+    std::uint64_t root = wants.all_services ? digests.services_total() : 0;
     for (const service_id service : wants.services)
     {
-        root += book.of(service);
+        root += digests.of(service);
     }
     return root;
 }
 
 } // namespace
 
-// Yields whether the node is still served.
+// Returns whether the node is still served.
 bool publisher::serve(time_point now, const host_id& node,
                       publisher_session& session,
                       std::vector<membership_send>& out)
@@ -69,7 +70,7 @@
     }
     while (has_news(session))
     {
-        if (session.pace.available(now) < least_part_bytes)
+        if (session.rate_limit.available(now) < min_part_bytes)
         {
             return true;
         }
@@ -94,7 +95,7 @@
            session.ordinary < m_state.ordinary().end();
 }
 
-// Whole data centres go first: one line says much of many upstreams. Yields
+// Data centres are sent first, since one entry covers many upstreams. Returns
 // whether anything was added.
 bool publisher::add_places(publisher_session& session,
                            wire::stream_part& part) const
@@ -121,12 +122,12 @@
     return added;
 }
 
-// Yields whether there was anything to send.
+// Returns whether there was anything to send.
 bool publisher::send_part(time_point now, const host_id& node,
                           publisher_session& session,
                           std::vector<membership_send>& out)
 {
-    const double tokens = session.pace.available(now);
+    const double tokens = session.rate_limit.available(now);
     const auto limit =
         std::min(static_cast<std::size_t>(tokens), m_settings.part_bytes) -
         framing_bytes;
@@ -159,9 +160,9 @@
     part.set_stream(session.stream);
     part.set_sequence(++session.sequence);
     const std::size_t size = wire_size(message);
-    session.pace.take(size);
+    session.rate_limit.take(size);
     session.bytes += size;
-    session.next_digest = now + m_settings.digest_every;
+    session.next_digest = now + m_settings.digest_interval;
     out.push_back(membership_send{node, std::move(message)});
     return true;
 }
@@ -170,12 +171,12 @@
                             publisher_session& session,
                             std::vector<membership_send>& out) const
 {
-    session.next_digest = now + m_settings.digest_every;
+    session.next_digest = now + m_settings.digest_interval;
     wire::membership_message message;
     wire::stream_digest& body = *message.mutable_idle();
     body.set_stream(session.stream);
     body.set_sequence(session.sequence);
-    body.set_root(root_of(m_state.book(), session.wants));
+    body.set_root(root_of(m_state.digests(), session.wants));
     body.set_version(m_state.version().value());
     body.set_document_seconds(whole_seconds(m_document_age));
     body.set_document_ms(whole_milliseconds(m_document_age));
@@ -186,7 +187,7 @@
         to.set_seconds(whole_seconds(each.age));
     }
     const std::size_t size = wire_size(message);
-    session.pace.take(size);
+    session.rate_limit.take(size);
     session.bytes += size;
     out.push_back(membership_send{node, std::move(message)});
 }
--- a/packages/membership/src/subscriber_publishers.cpp
+++ b/packages/membership/src/subscriber_publishers.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// Which control host a node asks, and when it goes to the next one.
+// Selection of the publisher and fail-over.
 
 namespace crowlink
 {
@@ -16,11 +16,11 @@
     const host_id before = m_order.empty() ? host_id() : source();
     m_settings.publishers = std::move(publishers);
     order_publishers();
-    m_source = internal::place_in(m_order, before);
+    m_source = internal::index_in(m_order, before);
     if (m_order.empty() || source() != before)
     {
         m_behind_since.reset();
-        repair(now);
+        reattach(now);
     }
     if (m_phase == phase::waiting)
     {
@@ -30,8 +30,8 @@
 
 void subscriber::order_publishers()
 {
-    m_order = internal::order_for(m_settings.self.value(), m_settings.region,
-                                  m_settings.publishers);
+    m_order = internal::preference_order(
+        m_settings.self.value(), m_settings.region, m_settings.publishers);
 }
 
 const host_id& subscriber::source() const
@@ -41,7 +41,7 @@
 
 void subscriber::connection_lost(time_point now, const host_id& publisher)
 {
-    m_lost.insert(publisher);
+    m_disconnected.insert(publisher);
     if (m_order.empty() || publisher != source() || m_phase == phase::waiting)
     {
         return;
@@ -50,14 +50,15 @@
     next_publisher(now);
     if (!was_served)
     {
-        // Nobody was burdened by a request that went nowhere.
+        // The request that failed put no load on a publisher, so there is no
+        // backoff.
         m_next = now;
     }
 }
 
 void subscriber::connection_made(time_point now, const host_id& publisher)
 {
-    m_lost.erase(publisher);
+    m_disconnected.erase(publisher);
     if (m_phase == phase::waiting)
     {
         m_next = std::min(m_next, now);
@@ -66,17 +67,17 @@
 
 bool subscriber::is_reachable(std::size_t at) const
 {
-    return m_lost.count(m_order[at]) == 0;
+    return m_disconnected.count(m_order[at]) == 0;
 }
 
 bool subscriber::is_named(std::size_t at) const
 {
-    return m_named.count(m_order[at]) != 0;
+    return m_named_hosts.count(m_order[at]) != 0;
 }
 
-// The next one that there is a connection to, or that was not tried yet; those
-// that were named as control hosts go before those that only the settings name.
-// False if all are lost.
+// Chooses the next publisher that is connected or was not tried yet. Hosts
+// named as control hosts come before those that are only configured. Returns
+// false if there is none.
 bool subscriber::choose_publisher()
 {
     std::optional<std::size_t> found;
@@ -98,23 +99,23 @@
     return found.has_value();
 }
 
-// One that keeps the request serves it as soon as it may. It could be cut off
-// from the others, so that the node does not stay for ever.
-void subscriber::refused(time_point now, bool kept)
+// A publisher that keeps the request serves it as soon as it may. It may be cut
+// off from the other control hosts, so the node waits for a limited time.
+void subscriber::handle_refusal(time_point now, bool kept)
 {
     if (kept)
     {
         m_refusals = 0;
-        m_next = now + m_settings.kept_patience;
+        m_next = now + m_settings.kept_request_timeout;
         return;
     }
-    const bool knows_better = !m_named.empty() && !is_named(m_source);
+    const bool knows_named_host = !m_named_hosts.empty() && !is_named(m_source);
     ++m_refusals;
-    // Each of them is asked once without a wait in between.
+    // Every publisher is asked once without a backoff in between.
     const bool has_others = m_refusals < m_order.size();
     const duration backoff = m_backoff;
     next_publisher(now);
-    if (knows_better || has_others)
+    if (knows_named_host || has_others)
     {
         m_next = now;
         m_backoff = backoff;
@@ -127,7 +128,7 @@
 {
     m_source = (m_source + 1) % m_order.size();
     m_behind_since.reset();
-    repair(now);
+    reattach(now);
 }
 
 } // namespace crowlink
