--- a/packages/agent/include/crowlink/agent.hpp
+++ b/packages/agent/include/crowlink/agent.hpp
@@ -1,35 +1,39 @@
 #pragma once
 
-// The agent module: the small process beside one upstream, the authority on
+// The agent module: the process beside one upstream that is the authority on
 // its flows. A state machine without I/O: agent::handle(now, event, effects).
-// docs/design/flows.md says how flows are found, placed and kept.
+// docs/design/flows.md describes how flows are looked up, placed and kept.
 //
 //   agent.hpp            the state machine
-//   agent_settings.hpp   what an agent is told at its start
-//   agent_events.hpp     what may happen to it
-//   agent_effects.hpp    what it does to the world, as a concept
-//   agent_counts.hpp     what it has counted
-//   peer_message.hpp     what agents tell each other
-//   redirect_notice.hpp  where flows are, told to their first candidates
-//   load_notice.hpp      how much a peer has to do
-//   shed_notice.hpp      asking and granting leave to take no new flow
-//   flow_refusal.hpp     what a caller is told
+//   agent_settings.hpp   its settings, fixed at its start
+//   agent_events.hpp     its input events
+//   agent_effects.hpp    its outputs, as a concept
+//   agent_counts.hpp     its counters
+//   peer_message.hpp     messages between agents
+//   redirect_notice.hpp  flow locations, sent to their first candidates
+//   load_notice.hpp      the load of a peer
+//   shed_notice.hpp      permission to take no new flow
+//   flow_refusal.hpp     why a caller is refused or reset
 //   flow_decision.hpp    one decision, for the log
-//   hand_on_opening.hpp  the way of an opening packet that came by mistake
+//   hand_on_opening.hpp  forwards an opening packet that arrived by mistake
 //
-// The parts below are its own business:
+// The parts below are internal:
 //
-//   flow_table.hpp       the flows that it owns
-//   redirect_table.hpp   where the flows of others are
-//   member_tables.hpp    views, and the tables of the settling time
-//   chain_walk.hpp       the positions of a packet's two chains
-//   admission.hpp        whether a new flow may come in
-//   progress_judge.hpp   how warm and how healthy the upstream is
-//   load_board.hpp       the loads of peers
-//   shed_warden.hpp      who may shed
-//   redirect_batch.hpp   redirects on their way
-//   deadline_queue.hpp   flows to look at later
-//   effect_queue.hpp     effects between decision and execution
+//   flow_table.hpp               the flows that the agent owns
+//   redirect_table.hpp           the locations of other agents' flows
+//   member_tables.hpp            views, and the tables of the settling time
+//   chain_walk.hpp               positions in a packet's two chains
+//   admission.hpp                whether a new flow is admitted
+//   cold_start_limiter.hpp       the rate limit of a cold upstream
+//   progress_monitor.hpp         the warm-up and health of the upstream
+//   peer_loads.hpp               the loads of peers
+//   shed_coordinator.hpp         which upstreams may shed
+//   redirect_batch.hpp           redirects that wait to be sent
+//   retransmission_detector.hpp  whether a caller's flow is served
+//   owner_search.hpp             searches for the owners of flows
+//   silent_member_query.hpp      datagrams that wait for silent members
+//   deadline_queue.hpp           flows that are due for a later check
+//   effect_queue.hpp             effects between decision and execution
 
 #include "crowlink/agent/agent.hpp"
 #include "crowlink/agent/agent_counts.hpp"
--- a/packages/agent/include/crowlink/agent/admission.hpp
+++ b/packages/agent/include/crowlink/agent/admission.hpp
@@ -12,9 +12,9 @@
 namespace crowlink::internal
 {
 
-// Whether a new flow may come in, by what the agent itself counts exactly:
-// open flows and work in progress, against what the operators declared and
-// what the upstream's progress shows.
+// Decides whether a new flow is admitted. The decision compares the agent's own
+// exact counts of open flows and work in progress with the limits that the
+// operators declared and with the upstream's observed progress.
 class admission
 {
 public:
@@ -38,34 +38,37 @@
     progress_judge& judge() { return m_judge; }
     const progress_judge& judge() const { return m_judge; }
     const sharing_policy& sharing() const { return m_sharing; }
-    // Whether it takes no new flow, by its own judgement and with leave.
+    // Whether the upstream takes no new flow: it is judged stalled and has
+    // permission to shed.
     bool is_shedding(time_point now) const;
     load_board& peers() { return m_peers; }
 
     void assess(time_point now);
 
-    // In millionths of what the upstream can take: the fuller of flows and
-    // work, against its share.
+    // In millionths of the upstream's capacity: the larger of the use of flows,
+    // of work and of the cold-start limit, relative to the upstream's share.
     std::uint32_t load(std::size_t flows) const;
 
-    // Whether what runs and waits would make one more request late.
+    // Whether the work that runs and waits would delay one more request too
+    // long.
     bool is_full_of_work() const;
-    // Whether a copy of an opening packet that is turned away now may find
-    // room: work ends within milliseconds, and a cold upstream's bound moves
-    // on.
+    // Whether a retransmission of an opening packet that is rejected now may be
+    // admitted: work ends within milliseconds, and the window of the cold-start
+    // limit moves on.
     bool has_room_soon(time_point now) const;
 
-    // What the agent knows of the upstream's start.
+    // The rate limit that holds after the upstream's start.
     cold_gate& cold() { return m_cold; }
 
-    // Whether one more flow is within the limits. While shedding, one flow now
-    // and then is, as a trial.
+    // Whether one more flow is within the limits. A shedding upstream gets a
+    // trial flow from time to time.
     bool can_admit(time_point now, std::size_t flows) const;
     // Whether a shedding upstream is due for a trial.
     bool wants_trial(time_point now) const;
-    // Whether the head should take the flow without asking others.
+    // Whether the head admits the flow without comparing loads with other
+    // candidates.
     bool admits_at_once(time_point now, std::size_t flows) const;
-    // Notes that a flow was admitted.
+    // Records that a flow was admitted.
     void admitted(time_point now);
 
     const target_limits& limits() const { return m_limits; }
--- a/packages/agent/include/crowlink/agent/agent.hpp
+++ b/packages/agent/include/crowlink/agent/agent.hpp
@@ -25,19 +25,19 @@
 namespace crowlink
 {
 
-// The agent of one upstream: the authority on the flows that it owns. See
-// docs/design/flows.md for how flows are found, placed and kept. Not
-// thread-safe; each event's effects are carried out before handle returns.
+// The agent of one upstream: the authority on the flows that it owns.
+// docs/design/flows.md describes how flows are looked up, placed and kept. Not
+// thread-safe; the effects of an event are carried out before handle returns.
 //
-//   agent keeper(settings, now);
-//   keeper.handle(now, view_changed{view}, effects);
-//   keeper.handle(now, packet_arrived{header, payload}, effects);
+//   agent owner(settings, now);
+//   owner.handle(now, view_changed{view}, effects);
+//   owner.handle(now, packet_arrived{header, payload}, effects);
 class agent
 {
 public:
     agent(const agent_settings& settings, time_point now);
 
-    // Takes any event of agent_events.hpp.
+    // Handles any event of agent_events.hpp.
     template <class Event, agent_effects Effects>
     void handle(time_point now, const Event& event, Effects& effects)
     {
@@ -71,15 +71,15 @@
     }
 
     bool owns(const flow_key& flow) { return m_flows.find(flow) != nullptr; }
-    // Flows that are open; those that linger are not counted.
+    // Open flows, without lingering ones.
     std::size_t flows() const { return m_flows.open_count(); }
     std::size_t redirects() const { return m_redirects.size(); }
-    // In millionths of what the upstream can take.
+    // In millionths of the upstream's capacity.
     std::uint32_t load() const
     {
         return m_admission.load(m_flows.open_count());
     }
-    // Whether it stalls and takes no new flow for it.
+    // Whether the upstream is judged stalled and takes no new flow.
     bool sheds(time_point now) const;
     upstream_tag tag() const { return m_tag; }
     const upstream_record& record() const { return m_record; }
@@ -92,8 +92,8 @@
         elsewhere,
     };
 
-    // Whether the silent members were asked for a datagram's flow by this
-    // agent.
+    // Whether this agent has already asked the silent members about a
+    // datagram's flow.
     enum class inquiry : bool
     {
         due,
@@ -136,7 +136,7 @@
     bool gives_up(time_point now, const packet_arrived& event);
     void reset_silent(const packet_header& header, payload_view payload);
 
-    // Searches for owners.
+    // Owner searches.
     void look_elsewhere(time_point now, const packet_header& header,
                         const packet_arrived& event);
     void start_search(time_point now, const packet_header& header,
@@ -287,12 +287,13 @@
     internal::returned_flows m_returned;
     internal::owner_search m_search;
     internal::silent_inquiry m_inquiry;
-    // Those that ended with this event; its effects refer to them.
+    // Searches that ended with the current event; its effects refer to their
+    // payloads.
     std::vector<internal::searched_flow> m_ended_searches;
     agent_counts m_counts;
 
-    // A generation of tables that redirects are checked against, and the
-    // members that are to be told again in it.
+    // The generation of tables that redirects are checked against, and the
+    // members that are notified again in it.
     std::uint32_t m_check = 1;
     bool m_checking = false;
     std::uint32_t m_redirects_left = 0;
@@ -303,15 +304,18 @@
     bool m_announced = false;
     bool m_leaving = false;
     bool m_is_life_uncertain = false;
-    // Until when flows that may be old, and flows that surely are, may be
-    // taken up again after a restart beside a living upstream.
+    // Flows that may be old are adopted until the first time, flows that are
+    // certainly old until the second, after a restart beside a running
+    // upstream.
     time_point m_adopt_until{};
     time_point m_adopt_old_until{};
-    // Until when the upstream may hold a flow that no table of late leads here.
+    // Until then the upstream may hold a flow whose chain in the recent tables
+    // does not list it.
     time_point m_may_have_until{};
     time_point m_next_assessment{};
     std::size_t m_next_peer = 0;
-    // The latest answer, and the latest of another flow than that one's.
+    // The time of the latest answer, and of the latest answer on another flow
+    // than that one.
     time_point m_answered_at{};
     time_point m_answered_other_at{};
     flow_key m_answered_flow;
--- a/packages/agent/include/crowlink/agent/agent_effects.hpp
+++ b/packages/agent/include/crowlink/agent/agent_effects.hpp
@@ -12,18 +12,18 @@
 namespace crowlink
 {
 
-// What an agent does to the world. A shell carries these out at once and
-// without waiting; none of them calls back into the agent.
+// The outputs of an agent. The caller carries each out at once and without
+// blocking; none of them calls back into the agent.
 //
 //   deliver         a caller's packet to the upstream; opens what it needs
 //   forward         a caller's packet to another agent
 //   answer          an upstream's packet to a balancer, for the caller
-//   refuse          tells the caller at once that its packet was not taken;
-//                   the payload is the refused packet's
-//   reset_caller    tells the caller that its flow is over; the payload is the
-//                   packet of it that can't be delivered, or empty
-//   reset_upstream  tells the upstream that the flow is over
-//   close           forgets what was kept for the flow; follows every end
+//   refuse          tells the caller at once that its packet was not accepted;
+//                   the payload is that of the refused packet
+//   reset_caller    tells the caller that its flow has ended; the payload is
+//                   the packet that can't be delivered, or empty
+//   reset_upstream  tells the upstream that the flow has ended
+//   close           discards the flow's state; follows every end
 //   send            a message to another agent
 //   announce        the upstream's new record to control
 //   decide          one decision, for the log
--- a/packages/agent/include/crowlink/agent/agent_events.hpp
+++ b/packages/agent/include/crowlink/agent/agent_events.hpp
@@ -13,14 +13,14 @@
 namespace crowlink
 {
 
-// The bytes behind a packet header, or an upstream's answer. The core never
-// looks into them.
+// The bytes after a packet header, or an upstream's answer. The agent never
+// parses them.
 using payload_view = std::span<const std::uint8_t>;
 
-// Whether a caller's packet waits for an answer, as far as the shell knows.
+// Whether a caller's packet expects an answer, as far as the I/O layer knows.
 enum class answer_need : std::uint8_t
 {
-    // A datagram: it counts as unanswered only when the caller repeats itself.
+    // A datagram: it counts as unanswered only when the caller retransmits.
     unknown,
     // For example a TCP acknowledgement without data.
     none,
@@ -36,15 +36,15 @@
     answer_need need = answer_need::unknown;
     // The packet is the caller's last in its direction: a TCP FIN.
     bool finishes = false;
-    // The caller sends it again by itself if nothing comes: a flow that can't
+    // The caller retransmits by itself when nothing arrives: a flow that can't
     // be opened now need not be refused yet.
     bool comes_again = false;
-    // Where the packet begins in what the caller sends on this flow: copies of
-    // one packet have the same place.
+    // The packet's offset in the caller's byte stream: retransmissions of a
+    // packet have the same sequence.
     std::uint32_t sequence = 0;
 };
 
-// The upstream sent something to the caller of a flow.
+// The upstream sent a packet to the caller of a flow.
 struct upstream_answered
 {
     const flow_key& flow;
@@ -53,15 +53,15 @@
     bool finishes = false;
 };
 
-// The upstream does not take a packet that was delivered to it with this
-// header: it can't open the flow, or does not hold it.
+// The upstream rejected a packet that was delivered to it with this header: it
+// can't open the flow, or does not hold it.
 struct packet_returned
 {
     const packet_header& header;
     payload_view payload;
 };
 
-// The upstream ended one flow, in order or by a reset.
+// The upstream ended one flow, by an orderly close or by a reset.
 struct upstream_closed
 {
     const flow_key& flow;
@@ -73,25 +73,25 @@
 {
 };
 
-// At the agent's start: the upstream lived on and still knows its flows, so
-// the agent may take them up again.
+// At the agent's start: the upstream was already running and still holds its
+// flows, so the agent may adopt them.
 struct upstream_lived_on
 {
-    // It had just started then, as far as it tells: what it may hold was opened
-    // a moment ago, and no table of before the last few names it.
+    // The upstream had just started by its own report: any flow that it holds
+    // was opened moments ago, and only the latest tables list it.
     bool is_young = false;
 };
 
-// What the upstream says of its start.
+// What the upstream reports about its start.
 struct upstream_told
 {
-    // Until when it is cold; a past time where it is warm.
+    // The upstream is cold until then; a past time when it is warm.
     time_point cold_until{};
-    // The agent has just started beside it, and what it was sent in the second
-    // before is not known.
+    // The agent has just started beside the upstream, and does not know which
+    // flows the upstream got in the second before.
     bool is_second_before_unknown = false;
-    // The agent found the upstream at its own start, and may name its life in
-    // another way than peers do until the upstream has spoken.
+    // The agent found the upstream at its own start, and may identify its
+    // incarnation differently from peers until the upstream announces itself.
     bool is_life_uncertain = false;
 };
 
@@ -102,24 +102,25 @@
     const peer_message& message;
 };
 
-// Control has another view of the service. Older ones are ignored.
+// Control has a new view of the service. Older views are ignored.
 struct view_changed
 {
     std::shared_ptr<const service_view> view;
 };
 
-// The upstream leaves by its own wish; it keeps its flows, takes no new one.
+// The upstream leaves at its own request; it keeps its flows and takes no new
+// one.
 struct leave_requested
 {
 };
 
-// Work of some kind began at the upstream; `weight` as its kind declares.
+// Work of some kind began at the upstream; `weight` is declared for the kind.
 struct work_started
 {
     std::uint32_t weight = 1;
 };
 
-// That work ended; `completed` if it was answered rather than given up.
+// That work ended; `completed` if it was answered, false if it was abandoned.
 struct work_ended
 {
     std::uint32_t weight = 1;
--- a/packages/agent/include/crowlink/agent/agent_settings.hpp
+++ b/packages/agent/include/crowlink/agent/agent_settings.hpp
@@ -9,63 +9,67 @@
 namespace crowlink
 {
 
-// What an agent is told once, at its start. The limits that operators declare
-// come with the service's view.
+// The settings of an agent, fixed at its start. The limits that operators
+// declare arrive with the service's view.
 struct agent_settings
 {
-    // The upstream as it is announced first. `started` identifies the
-    // upstream's own life: an agent that restarts beside an upstream that
-    // lived on passes the same number, so that packets still carry its tag.
+    // The upstream's first record. `started` identifies the upstream's
+    // incarnation: an agent that restarts beside a running upstream passes the
+    // same number, so that packets still carry its tag.
     upstream_record self;
-    // For so long after a change of table, or after its own start, an agent
-    // looks for the owner of an unknown flow elsewhere before it admits it. It
+    // How long after a change of table, or after its own start, an agent looks
+    // for the owner of an unknown flow elsewhere before it admits the flow. It
     // must exceed the time in which a change reaches all agents.
     duration settle = std::chrono::seconds(10);
-    // For so long after its own start beside an upstream that lived on, an
-    // agent takes up flows that are surely old and that no other agent knows.
-    // It bounds how quiet a flow may be and still survive the restart.
+    // How long after its own start beside a running upstream an agent adopts
+    // flows that are certainly old and that no other agent knows. It bounds how
+    // long a flow may be idle and still survive the restart.
     duration adoption = std::chrono::hours(1);
-    // How long a redirect is kept without renewal; owners renew at a third.
+    // How long a redirect is kept without renewal; owners renew it after a
+    // third of this time.
     duration redirect_lifetime = std::chrono::minutes(10);
     // How long an agent remembers that a flow is being placed elsewhere. Longer
-    // than a third of the settling time, when a lost redirect is repeated.
+    // than a third of the settling time, when a redirect is repeated in case it
+    // was lost.
     duration placing_lifetime = std::chrono::seconds(5);
-    // To how many of a flow's first candidates its owner publishes, 1 to 4.
-    // With two, the next candidate knows the flow when the first one dies.
+    // The number of a flow's first candidates, 1 to 4, that its owner sends a
+    // redirect. With two, the next candidate knows the flow when the first one
+    // fails.
     std::uint32_t redirect_copies = 2;
     // Bounds the redirects that are published at one tick, and the flows that
-    // are looked at for it after a change of table.
+    // are checked for redirects after a change of table.
     std::uint32_t redirects_per_tick = 256;
     std::uint32_t checks_per_tick = 8192;
-    // Bounds the redirects of others that are kept.
+    // Bounds the stored redirects of other agents.
     std::uint32_t redirects_kept = 65536;
-    // Flows without any packet for so long are closed.
+    // Flows without any packet for this long are closed.
     duration udp_idle = std::chrono::hours(4);
     duration tcp_idle = std::chrono::hours(24);
-    // For so long after its first view an agent takes no search for proof that
-    // nobody has a flow: members that restarted with it may not be announced
-    // yet. The third of a lease within which each of them renews.
+    // For this long after its first view an agent does not take a finished
+    // search as proof that no member has a flow: members that restarted with it
+    // may not be announced yet. A third of the lease, within which each of them
+    // renews it.
     duration members_known_after = std::chrono::seconds(2);
-    // Bounds the questions for owners of unknown flows at one tick, and the
-    // packets that are sent to those who may have them. At 50 ms a tick 1,280
-    // a second, answers as many: a fifth of a tenth of a core.
+    // Bounds the owner questions at one tick, and the packets that are sent to
+    // possible owners. At 50 ms a tick these are 1,280 a second, and as many
+    // answers: a fifth of a tenth of a core.
     std::uint32_t questions_per_tick = 64;
-    // A flow that both ends have finished is kept for so long.
+    // How long a flow is kept after both ends have finished it.
     duration linger = std::chrono::seconds(10);
-    // A refused caller is told to come back after this.
+    // When a refused caller may retry.
     duration retry_after = std::chrono::seconds(1);
-    // So much work for each slot, what runs included, keeps new flows out; 0
-    // sets no bound. For upstreams whose own queue would make requests late or
-    // be refused.
+    // The work for each slot, including what runs, from which new flows are
+    // rejected; 0 sets no bound. For upstreams whose own queue would delay or
+    // refuse requests.
     std::uint32_t work_per_slot = 0;
-    // Slots as the upstream announced them; 0 where the document declares them.
+    // The slots that the upstream announced; 0 when the document declares them.
     std::uint32_t slots = 0;
-    // How often load is told to peers and progress is judged.
+    // The interval at which load is sent to peers and progress is assessed.
     duration assess = std::chrono::milliseconds(250);
-    // With work waiting and none answered for so long, an upstream counts as
+    // With work waiting and none answered for this long, an upstream counts as
     // stalled.
     duration stall_after = std::chrono::seconds(2);
-    // How long leave to shed lasts without renewal.
+    // How long a permission to shed lasts without renewal.
     duration shed_lifetime = std::chrono::seconds(5);
 
     friend auto operator<=>(const agent_settings&,
--- a/packages/agent/include/crowlink/agent/deadline_queue.hpp
+++ b/packages/agent/include/crowlink/agent/deadline_queue.hpp
@@ -10,8 +10,8 @@
 namespace crowlink::internal
 {
 
-// Flows that are to be looked at after one fixed delay, first in, first out.
-// The owner of the queue keeps each flow in it at most once.
+// Flows that are due after one fixed delay, first in, first out. The user of
+// the queue keeps each flow in it at most once.
 class deadline_queue
 {
 public:
@@ -20,7 +20,7 @@
         m_items.push_back(item{due, flow});
     }
 
-    // Takes out the first flow if it is due.
+    // Removes the first flow if it is due.
     std::optional<flow_key> pop(time_point now)
     {
         if (m_items.empty() || m_items.front().due > now)
--- a/packages/agent/include/crowlink/agent/effect_queue.hpp
+++ b/packages/agent/include/crowlink/agent/effect_queue.hpp
@@ -55,8 +55,9 @@
     peer_message message;
 };
 
-// The effects of one event, in order, before they are carried out. So the
-// decisions are ordinary code, and only the last step knows the effects' type.
+// The effects of one event, in order, before they are carried out. The
+// decisions thus need no template parameter: only the last step knows the type
+// of the effects.
 class effect_queue
 {
 public:
@@ -71,7 +72,7 @@
         m_effects.emplace_back(std::move(value));
     }
 
-    // Carries out what is queued and empties the queue.
+    // Carries out the queued effects and empties the queue.
     template <agent_effects Effects>
     void flush(Effects& effects)
     {
--- a/packages/agent/include/crowlink/agent/flow_decision.hpp
+++ b/packages/agent/include/crowlink/agent/flow_decision.hpp
@@ -11,7 +11,7 @@
 namespace crowlink
 {
 
-// What was decided about a flow; packets of known flows decide nothing.
+// What was decided about a flow. Packets of known flows cause no decision.
 enum class flow_action : std::uint8_t
 {
     admitted,
@@ -20,7 +20,7 @@
     looked_up,
     redirected,
     refused,
-    // Neither taken nor refused: the caller asks again by itself.
+    // Neither admitted nor refused: the caller retransmits by itself.
     deferred,
     reset,
     closed,
@@ -58,18 +58,19 @@
     return "unknown";
 }
 
-// One routing or placement decision, for one log line. Cheap to build; the
-// shell renders it only if its level is on.
+// One routing or placement decision, for one log line. Cheap to build; it is
+// formatted only if its log level is enabled.
 struct flow_decision
 {
     flow_action action = flow_action::admitted;
     service_id service;
     flow_key flow;
-    // The digest of the table that the packet came with, else of one's own.
+    // The digest of the table that the packet came with, otherwise that of the
+    // agent's own table.
     std::uint64_t table = 0;
-    // Where the flow goes next; without an address where it goes nowhere.
+    // Where the flow goes next; without an address when it goes nowhere.
     candidate chosen;
-    // The agent's own load in millionths of what it can take.
+    // The agent's own load in millionths of the upstream's capacity.
     std::uint32_t load = 0;
     // One word; static storage.
     std::string_view reason;
--- a/packages/agent/include/crowlink/agent/flow_entry.hpp
+++ b/packages/agent/include/crowlink/agent/flow_entry.hpp
@@ -9,20 +9,22 @@
 namespace crowlink::internal
 {
 
-// What an agent keeps of a flow that it owns.
+// The state of a flow that the agent owns.
 struct flow_entry
 {
     flow_key key;
     // The balancer that the latest packet came through.
     endpoint return_to;
-    // The generation of balancers that `return_to` was checked against.
+    // The generation of the view that `return_to` was checked against.
     std::uint32_t return_checked = 0;
     time_point opened{};
     time_point active{};
-    // The first and the latest caller's packet that wait for an answer.
+    // The times of the first and the latest packet of the caller that expect an
+    // answer.
     time_point waiting_since{};
     time_point waiting_latest{};
-    // The number of those packets, and whether one surely needs an answer.
+    // The number of those packets, and whether one of them certainly needs an
+    // answer.
     std::uint16_t waiting = 0;
     bool answer_required = false;
     bool caller_finished = false;
@@ -30,20 +32,21 @@
     // Whether the entry stays only for late packets of a flow that both ends
     // have finished. Set by the flow table.
     bool lingering = false;
-    // Whether the flow is in the queue of the silence watch.
+    // Whether the flow is in the queue of flows that wait for an answer.
     bool watched = false;
-    // Whether the flow is in the queue of renewals, and when it is due.
+    // Whether the flow is in the renewal queue, and when its renewal is due.
     bool renewing = false;
     time_point renew_at{};
-    // Whether the flow is in the queue of redirects to send once more.
+    // Whether the flow is in the queue of redirects to send a second time.
     bool repeating = false;
-    // Whether a rival owner was told to yield; it stands by that.
+    // Whether the agent has told a competing owner to yield; it then keeps the
+    // flow.
     bool outlasts_rivals = false;
-    // When the head of a packet that had to be looked up was last told.
+    // When the head was last notified because a packet had to be looked up.
     time_point head_told_at{};
     // The generation of tables that the redirects were checked against.
     std::uint32_t checked = 0;
-    // Identifies the agents that were told of the flow; zero if none was.
+    // Identifies the agents that were notified of the flow; zero if none was.
     std::uint32_t told = 0;
 };
 
--- a/packages/agent/include/crowlink/agent/flow_refusal.hpp
+++ b/packages/agent/include/crowlink/agent/flow_refusal.hpp
@@ -15,13 +15,13 @@
 {
     // Every candidate is at its limit.
     full,
-    // Every candidate drains or is judged stalled.
+    // Every candidate is draining or judged stalled.
     leaving,
     // The packet belongs to a flow that no upstream knows.
     unknown_flow,
     // The flow's upstream ended or can't be reached.
     upstream_failed,
-    // The flow went unanswered while others progressed.
+    // The flow went unanswered while others made progress.
     silent,
     // Another agent owned the flow for longer.
     duplicate,
@@ -47,12 +47,12 @@
     return "unknown";
 }
 
-// What a caller is told when its flow can't go on.
+// What a caller is told when its flow is refused or reset.
 struct flow_refusal
 {
     verdict outcome = verdict::not_run;
     refusal_reason reason = refusal_reason::full;
-    // When to come back; zero: at once, with a new flow.
+    // When to retry; zero: at once, with a new flow.
     duration retry_after{};
 
     friend auto operator<=>(const flow_refusal&, const flow_refusal&) = default;
--- a/packages/agent/include/crowlink/agent/flow_table.hpp
+++ b/packages/agent/include/crowlink/agent/flow_table.hpp
@@ -11,38 +11,39 @@
 namespace crowlink::internal
 {
 
-// The flows that an agent owns: found by key, and in the order of their
-// activity, the most recent first. Entries do not move in memory.
+// The flows that an agent owns, indexed by key and ordered by activity, the
+// most recent first. Entries do not move in memory.
 class flow_table
 {
 public:
     // The flow, or null.
     flow_entry* find(const flow_key& key);
 
-    // Adds a flow that must not be there yet, as the most recent.
+    // Adds a flow as the most recent. The flow must not exist yet.
     flow_entry& open(const flow_key& key, time_point now);
 
     void erase(const flow_key& key);
 
-    // Notes that the flow was active. The order is kept to a second, so that
-    // busy flows aren't moved for each packet.
+    // Records activity of the flow. The order is kept to a second, so that busy
+    // flows aren't moved for each packet.
     void touch(flow_entry& entry, time_point now);
 
-    // The flow that was active least recently, or null.
+    // The least recently active flow, or null.
     flow_entry* least_recent();
 
-    // A flow that lingers is kept but takes no room at the upstream.
+    // A lingering flow is kept but uses no capacity of the upstream.
     void set_lingering(flow_entry& entry, bool lingering);
 
-    // All flows that are kept, and those that do not linger.
+    // The number of all flows, of those that do not linger and of those that
+    // do.
     std::size_t size() const { return m_flows.size(); }
     std::size_t open_count() const { return m_flows.size() - m_lingering; }
     std::size_t lingering_count() const { return m_lingering; }
 
-    // Starts the walk over all flows, most recent first, again.
+    // Restarts the iteration over all flows, most recent first.
     void rewind();
-    // The next flow of the walk; null at its end. Flows that are touched
-    // before the walk reaches them are left out.
+    // The next flow of the iteration; null at its end. Flows that are touched
+    // before the iteration reaches them are skipped.
     flow_entry* next();
 
 private:
--- a/packages/agent/include/crowlink/agent/hand_on_opening.hpp
+++ b/packages/agent/include/crowlink/agent/hand_on_opening.hpp
@@ -7,8 +7,8 @@
 {
 
 // Addresses an opening packet to the next candidate of its current chain that
-// is not at this agent's address, so that its caller need not wait and send it
-// once more. False where there is none, or the packet opens nothing.
+// has another address than `from`, so that its caller need not wait for its own
+// retransmission. Returns false if there is none, or the packet opens no flow.
 bool hand_on_opening(packet_header& header, const endpoint& from);
 
 } // namespace crowlink
--- a/packages/agent/include/crowlink/agent/load_board.hpp
+++ b/packages/agent/include/crowlink/agent/load_board.hpp
@@ -11,8 +11,8 @@
 namespace crowlink::internal
 {
 
-// The latest loads that peers told. A service with more members than there are
-// slots is known by a sample of them.
+// The latest loads that peers have sent. A service with more members than slots
+// is represented by a sample of them.
 class load_board
 {
 public:
@@ -20,7 +20,7 @@
 
     void note(time_point now, upstream_tag peer, std::uint32_t load);
 
-    // The mean of the peers' recent loads; nothing without a recent one.
+    // The mean of the peers' recent loads; empty without a recent one.
     std::optional<std::uint32_t> mean(time_point now) const;
 
 private:
--- a/packages/agent/include/crowlink/agent/load_notice.hpp
+++ b/packages/agent/include/crowlink/agent/load_notice.hpp
@@ -9,14 +9,14 @@
 namespace crowlink
 {
 
-// An agent tells a few peers its load, so that each knows the average.
+// An agent sends its load to a few peers, so that each can estimate the mean.
 struct load_notice
 {
     service_id service;
-    // The agent that is meant; another one drops the notice.
+    // The receiving agent; any other drops the notice.
     upstream_tag receiver = 0;
     upstream_tag sender = 0;
-    // In millionths of what the upstream can take.
+    // In millionths of the upstream's capacity.
     std::uint32_t load = 0;
 
     friend auto operator<=>(const load_notice&, const load_notice&) = default;
--- a/packages/agent/include/crowlink/agent/load_units.hpp
+++ b/packages/agent/include/crowlink/agent/load_units.hpp
@@ -5,7 +5,7 @@
 namespace crowlink::internal
 {
 
-// Loads and shares are counted in millionths.
+// Loads and shares are expressed in millionths.
 inline constexpr std::uint32_t full_share = 1'000'000;
 
 } // namespace crowlink::internal
--- a/packages/agent/include/crowlink/agent/owner_answer.hpp
+++ b/packages/agent/include/crowlink/agent/owner_answer.hpp
@@ -10,20 +10,20 @@
 namespace crowlink
 {
 
-// What an agent says of a flow that it was asked about.
+// An agent's answer about one flow.
 enum class ownership : std::uint8_t
 {
-    // It surely does not have the flow.
+    // The agent certainly does not have the flow.
     none,
-    // Its upstream may hold the flow though the agent does not know it: only a
-    // packet of the flow shows that.
+    // The upstream may hold the flow though the agent does not know it: only
+    // delivering a packet of the flow shows that.
     possible,
     owned,
 };
 
 constexpr ownership last_ownership = ownership::owned;
 
-// One flow of an answer, by the stable hash of its key.
+// One flow of an answer, identified by the stable hash of its key.
 struct stated_ownership
 {
     std::uint64_t flow = 0;
@@ -33,14 +33,14 @@
                             const stated_ownership&) = default;
 };
 
-// Answers an owner_question, or tells later that a packet has shown what was
-// only possible then.
+// Answers an owner_question, or reports later that a packet has resolved a
+// state that was only possible.
 struct owner_answer
 {
     service_id service;
-    // The agent that asked; another one drops the answer.
+    // The agent that asked; any other drops the answer.
     upstream_tag receiver = 0;
-    // Who answers.
+    // The agent that answers.
     candidate sender;
     std::vector<stated_ownership> flows;
 
--- a/packages/agent/include/crowlink/agent/owner_question.hpp
+++ b/packages/agent/include/crowlink/agent/owner_question.hpp
@@ -11,18 +11,18 @@
 namespace crowlink
 {
 
-// Asks another member of a service which of these flows it has. Any number of
-// flows that nobody on their way knew share a question.
+// Asks another member of a service which of these flows it has. Several unknown
+// flows share a question.
 struct owner_question
 {
-    // So that a question about IPv6 flows fits into one datagram of 1,400
+    // A question about this many IPv6 flows fits into one datagram of 1,400
     // bytes.
     static constexpr std::size_t most_flows = 24;
 
     service_id service;
-    // The agent that is meant; another one drops the question.
+    // The receiving agent; any other drops the question.
     upstream_tag receiver = 0;
-    // Who asks, and gets the answer.
+    // The agent that asks and gets the answer.
     candidate sender;
     std::vector<flow_key> flows;
 
--- a/packages/agent/include/crowlink/agent/owner_search.hpp
+++ b/packages/agent/include/crowlink/agent/owner_search.hpp
@@ -15,17 +15,17 @@
 namespace crowlink::internal
 {
 
-// A flow that nobody on its way knew.
+// A flow that no agent on its packet's path knew.
 struct searched_flow
 {
     // The caller's latest packet.
     packet_header header;
     std::vector<std::uint8_t> payload;
-    // The caller has repeated itself.
+    // The caller has retransmitted, so that nobody serves the flow.
     bool waits_in_vain = false;
-    // The caller has given up by then, unless it sends another copy.
+    // When the caller has given up, unless it retransmits again.
     time_point until{};
-    // Members that have not said yet that they don't have it; in order.
+    // Members that have not denied the flow yet; sorted.
     std::vector<upstream_tag> unheard;
 };
 
@@ -33,64 +33,67 @@
               "effects refer to payloads, which must stay where they are while "
               "a list of ended searches grows");
 
-// One question and the member that it goes to.
+// One question and its receiver.
 struct addressed_question
 {
     candidate to;
     std::vector<flow_key> flows;
 };
 
-// How long a search goes on.
+// The durations of a search.
 struct search_times
 {
-    // From the start of a round to that of the next one: many times the way to
-    // a member and back, and half of the time after which callers repeat
-    // themselves.
+    // The interval between the starts of two rounds: many times the round trip
+    // to a member, and half of the time after which callers retransmit.
     duration round = std::chrono::milliseconds(100);
-    // Callers send copies 1.6 s apart at most: three were due by then.
+    // Callers retransmit at most 1.6 s apart: three copies were due within this
+    // time.
     duration lifetime = std::chrono::seconds(5);
-    // Whether another copy of the caller's begins that time anew.
+    // Whether a retransmission of the caller restarts the lifetime.
     bool is_renewed_by_copies = true;
 
     friend auto operator<=>(const search_times&, const search_times&) = default;
 };
 
-// Flows whose owner is looked for by asking all members of their service, all
-// flows at once in rounds. A flow that every member denied has no owner.
+// Searches for the owners of flows by asking all members of the service, about
+// all flows at once and in rounds. A flow that every member has denied has no
+// owner.
 //
-// Answers to rounds and not a packet that goes from member to member: with 163
-// members that took 163 hops of a whole packet for each copy that a caller
-// sent, half a second, and was not done beyond 64 members; callers of flows
-// that ended with the power waited there for their own deadlines.
+// It asks in rounds instead of forwarding a packet from member to member: with
+// 163 members that took 163 hops of a whole packet for each retransmission of a
+// caller, half a second, and it was incomplete beyond 64 members; callers of
+// flows that were lost in a power failure then waited for their own timeouts.
 class owner_search
 {
 public:
-    // At 1.3 KB and 4 bytes a member each, 1.4 MB with 1,000 members. Beyond
-    // that a caller's next copy is searched for.
+    // At 1.3 KB for each flow and 4 bytes for each of its members, 1.4 MB with
+    // 1,000 members. Beyond this limit the caller's next retransmission may
+    // start a search.
     static constexpr std::size_t most_flows = 256;
     explicit owner_search(const search_times& times = {}) : m_times(times) {}
 
-    // Begins a search, or renews the packet of one that is on. Whether there
-    // was room.
+    // Starts a search, or replaces the packet of a running one. Returns whether
+    // there was room.
     bool add(time_point now, const packet_header& header, payload_view payload,
              bool waits_in_vain);
 
-    // The questions that are due, up to `room` and those that one member gets
-    // together. A round goes to each of `members`; those that became known
-    // since a search began are asked too.
+    // The questions that are due, up to `room`; the questions for one member
+    // stay together and may exceed it. A round covers each of `members`,
+    // including those that became known after a search began.
     std::vector<addressed_question> ask(time_point now, std::size_t room,
                                         const std::vector<candidate>& members);
 
-    // A member said that it does not have the flow. Whether all have now.
+    // Records that a member does not have the flow. Returns whether all members
+    // have now denied it.
     bool denied(std::uint64_t flow, upstream_tag by);
 
-    // The flow with this hash; null if it isn't searched for.
+    // The flow with this hash; null if there is no search for it.
     const searched_flow* find(std::uint64_t flow) const;
-    // Ends the search for it.
+    // Ends the search for the flow.
     std::optional<searched_flow> take(std::uint64_t flow);
-    // Ends the searches for the flows that no member is left to ask about.
+    // Ends the searches whose flows every member has denied.
     std::vector<searched_flow> take_denied();
-    // Ends the searches that have taken their time; some member said nothing.
+    // Ends the searches whose lifetime is over; some member did not answer.
     std::vector<searched_flow> take_unanswered(time_point now);
     std::vector<searched_flow> take_all();
 
@@ -105,9 +108,9 @@
 
     search_times m_times;
     std::unordered_map<std::uint64_t, searched_flow> m_flows;
-    // Members that all flows wait for or have heard; in order.
+    // The members that searches take into account; sorted.
     std::vector<upstream_tag> m_met;
-    // Those that the present round still goes to, the next one last.
+    // The members still to be asked in the present round, the next one last.
     std::vector<candidate> m_to_ask;
     time_point m_next_round{};
 };
--- a/packages/agent/include/crowlink/agent/peer_message.hpp
+++ b/packages/agent/include/crowlink/agent/peer_message.hpp
@@ -11,8 +11,8 @@
 namespace crowlink
 {
 
-// What agents tell each other beside the packets that they forward. Each may
-// be lost, doubled or late.
+// Messages between agents, apart from the packets that they forward. Each may
+// be lost, duplicated or delayed.
 using peer_message = std::variant<redirect_notice, load_notice, shed_request,
                                   shed_grant, owner_question, owner_answer>;
 
--- a/packages/agent/include/crowlink/agent/redirect_batch.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_batch.hpp
@@ -8,7 +8,7 @@
 namespace crowlink::internal
 {
 
-// Redirects on their way, gathered so that many flows share a message.
+// Redirects that wait to be sent, batched so that many flows share a message.
 class redirect_batch
 {
 public:
@@ -19,11 +19,11 @@
     };
 
     // Adds a flow to a notice for this agent and lifetime that has room, or to
-    // a new one like `empty`.
+    // a new one copied from `empty`.
     void add(const redirect_notice& empty, const endpoint& to,
              const owned_flow& flow);
 
-    // The notices so far; what is sent is taken out.
+    // The collected notices. The caller removes those that it sends.
     std::vector<open_notice>& notices() { return m_notices; }
 
 private:
--- a/packages/agent/include/crowlink/agent/redirect_notice.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_notice.hpp
@@ -13,13 +13,13 @@
 namespace crowlink
 {
 
-// One flow of a redirect notice and for how long its owner has had it. Should
-// two agents ever own one flow, the one that had it longer keeps it. The one
-// of lower tag compares, so that both come to the same end.
+// One flow of a redirect notice, and how long its owner has had it. If two
+// agents own one flow, the one that has had it longer keeps it. Only the agent
+// with the lower tag compares the ages, so that both reach the same result.
 struct owned_flow
 {
-    // In place of the age: it was compared, and the receiver is to yield. The
-    // highest age that travels, which is in 32 bits of milliseconds.
+    // Replaces the age: the ages were compared, and the receiver is to yield.
+    // The highest age on the wire, which has 32 bits of milliseconds.
     static constexpr duration decided = std::chrono::milliseconds(UINT32_MAX);
 
     flow_key flow;
@@ -29,17 +29,17 @@
 };
 
 // An owner tells a flow's first candidates where the flow is. Soft state: it
-// is forgotten after its lifetime unless it is renewed.
+// expires after its lifetime unless it is renewed.
 struct redirect_notice
 {
-    // So that a notice of IPv6 flows fits into one datagram of 1,400 bytes.
+    // A notice of this many IPv6 flows fits into one datagram of 1,400 bytes.
     static constexpr std::size_t most_flows = 20;
 
     service_id service;
-    // The agent that is meant; another one drops the notice.
+    // The receiving agent; any other drops the notice.
     upstream_tag receiver = 0;
     candidate owner;
-    // Zero withdraws: the owner no longer has these flows.
+    // Zero withdraws the redirects: the owner no longer has these flows.
     duration lifetime{};
     std::vector<owned_flow> flows;
 
--- a/packages/agent/include/crowlink/agent/redirect_table.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_table.hpp
@@ -14,13 +14,14 @@
 namespace crowlink::internal
 {
 
-// How an agent knows where to ask for a flow.
+// How an agent learned where to send packets of a flow.
 enum class redirect_kind : std::uint8_t
 {
-    // Its owner published it.
+    // The owner published it.
     published,
-    // The rest are marks, left where a packet of a flow that is being placed
-    // came by. Later packets follow them, so that one agent decides.
+    // The remaining kinds are placement hints, recorded where a packet of a
+    // flow that is being placed passed. Later packets follow them, so that only
+    // one agent decides.
     // On a walk in search of an owner.
     walked,
     // From the end of a walk to the first candidate.
@@ -31,7 +32,7 @@
     chosen,
 };
 
-// Where to ask for a flow that this agent does not own.
+// Where to send packets of a flow that this agent does not own.
 struct redirect_entry
 {
     flow_key flow;
@@ -42,14 +43,15 @@
     bool is_mark() const { return kind != redirect_kind::published; }
 };
 
-// The redirects of others and the marks of flows that are being placed. Soft
-// state with a bound: at the bound, what expires first is forgotten first.
+// The redirects of other agents and the hints to flows that are being placed.
+// Soft state with a size limit: at the limit, the entry that expires first is
+// evicted.
 class redirect_table
 {
 public:
     explicit redirect_table(std::size_t limit) : m_limit(limit) {}
 
-    // The entry of a flow that has not expired, or null.
+    // The flow's entry, or null if there is none or it has expired.
     const redirect_entry* find(const flow_key& flow, time_point now);
 
     void put(const redirect_entry& entry);
@@ -57,7 +59,7 @@
     // Erases only a published redirect to this owner.
     void withdraw(const flow_key& flow, const candidate& owner);
 
-    // Forgets what has expired, a bounded number at a time.
+    // Erases expired entries, a bounded number at a time.
     void expire(time_point now);
 
     std::size_t size() const { return m_entries.size(); }
--- a/packages/agent/include/crowlink/agent/repeat_watch.hpp
+++ b/packages/agent/include/crowlink/agent/repeat_watch.hpp
@@ -10,31 +10,31 @@
 namespace crowlink::internal
 {
 
-// Tells from a caller's packets alone whether its flow is dead: a caller that
-// is served acknowledges, one that is not repeats what it sent. For flows that
-// were sent on to an upstream that control does not hear.
+// Detects from a caller's packets alone that its flow is not served: a served
+// caller acknowledges, an unserved one retransmits. For flows whose packets
+// were forwarded to an upstream that control does not hear.
 class repeat_watch
 {
 public:
-    // Callers repeat unacknowledged data after 200 ms; what comes closer
-    // together is one request in several packets.
+    // Callers retransmit unacknowledged data after 200 ms; packets that are
+    // closer together are one request in several packets.
     static constexpr duration repeat_after = std::chrono::milliseconds(180);
-    // Flows that are watched; beyond that none is added.
+    // The limit of observed flows; beyond it none is added.
     static constexpr std::size_t most_flows = 4096;
-    // A flow that was quiet for so long is forgotten.
+    // A flow without packets for this long is erased.
     static constexpr duration lifetime = std::chrono::seconds(10);
 
-    // A packet with data or one that opens, by its place in what the caller
-    // sends: whether it repeats an earlier one. A caller that goes on was
-    // answered, perhaps without a packet that only acknowledges.
+    // Records a packet with data or one that opens the flow. Returns whether it
+    // retransmits an earlier sequence. A caller that advances has been
+    // answered, perhaps without a separate acknowledgement.
     bool sent(time_point now, const flow_key& flow, std::uint32_t sequence);
-    // A packet that only acknowledges: the flow is served.
+    // Records a packet that only acknowledges: the flow is served.
     void acknowledged(const flow_key& flow) { m_first.erase(flow); }
     void forget(const flow_key& flow) { m_first.erase(flow); }
     void expire(time_point now);
 
 private:
-    // The first packet that nothing has followed up.
+    // The first packet that no later sequence has followed.
     struct unanswered
     {
         time_point sent;
--- a/packages/agent/include/crowlink/agent/returned_flows.hpp
+++ b/packages/agent/include/crowlink/agent/returned_flows.hpp
@@ -9,15 +9,15 @@
 namespace crowlink::internal
 {
 
-// Flows that the upstream beside this agent is known not to hold, since it
-// returned a packet of them.
+// Flows that the upstream beside this agent does not hold, since it returned a
+// packet of them.
 class returned_flows
 {
 public:
-    // Long enough for every agent that may have the flow to be tried, and for
-    // the caller to repeat itself meanwhile.
+    // Long enough to try every agent that may have the flow, including the
+    // caller's retransmissions in between.
     static constexpr duration lifetime = std::chrono::seconds(30);
-    // Beyond this many, none is added: the flow is tried here once more.
+    // Beyond this limit none is added: the flow is then tried here again.
     static constexpr std::size_t most_flows = 16384;
 
     void add(time_point now, const flow_key& flow);
--- a/packages/agent/include/crowlink/agent/shed_notice.hpp
+++ b/packages/agent/include/crowlink/agent/shed_notice.hpp
@@ -9,21 +9,21 @@
 namespace crowlink
 {
 
-// An agent that judges its upstream stalled asks for leave to take no new
-// flow. Asked of one agent, the head of a fixed chain, which grants it to at
-// most a third of the service's upstreams; so a wrong judgement that spreads
-// can't take more than that out.
+// An agent that judges its upstream stalled requests permission to take no new
+// flow. It asks one agent, the head of a fixed chain, which grants this to at
+// most a third of the service's upstreams; a false judgement that spreads can't
+// take more out of service.
 struct shed_request
 {
     service_id service;
-    // The agent that is meant; another one drops the request.
+    // The receiving agent; any other drops the request.
     upstream_tag receiver = 0;
     candidate sender;
 
     friend auto operator<=>(const shed_request&, const shed_request&) = default;
 };
 
-// Leave to shed for a time. A request that isn't granted gets no answer.
+// Permission to shed for a time. A request that isn't granted gets no answer.
 struct shed_grant
 {
     service_id service;
--- a/packages/agent/include/crowlink/agent/shed_warden.hpp
+++ b/packages/agent/include/crowlink/agent/shed_warden.hpp
@@ -9,18 +9,18 @@
 namespace crowlink::internal
 {
 
-// Grants leave to shed to at most a third of a service's upstreams. A warden
-// that has just become one waits until the grants of the one before ran out.
+// Grants permission to shed to at most a third of a service's upstreams. A new
+// coordinator waits until the grants of its predecessor have expired.
 class shed_warden
 {
 public:
     explicit shed_warden(duration lifetime) : m_lifetime(lifetime) {}
 
-    // Says whether this agent is the warden now.
+    // Sets whether this agent is the coordinator.
     void appoint(time_point now, bool is_warden);
 
-    // Whether the asker may shed for the lifetime of a grant; `upstreams` is
-    // the number of those that take flows.
+    // Whether the requester may shed for the lifetime of a grant; `upstreams`
+    // is the number of upstreams that take flows.
     bool grant(time_point now, upstream_tag asker, std::size_t upstreams);
 
 private:
--- a/packages/agent/include/crowlink/agent/silent_inquiry.hpp
+++ b/packages/agent/include/crowlink/agent/silent_inquiry.hpp
@@ -8,18 +8,18 @@
 namespace crowlink::internal
 {
 
-// Datagrams that wait until silent members have said whether they own the flow.
-// A datagram does not tell whether it opens one, so that a flow of a member
-// that serves on, but is not heard by control, would be admitted elsewhere. A
-// member that does not answer holds up the first flows alone: the next ones do
-// not wait for it, for longer each time.
+// Holds datagrams until silent members have said whether they own the flow. A
+// datagram does not show whether it opens a flow, so that a flow of a member
+// that still serves it but is not heard by control would be admitted elsewhere.
+// A member that does not answer delays only the first flows: later ones do not
+// wait for it, for a period that doubles each time.
 class silent_inquiry
 {
 public:
     silent_inquiry();
 
-    // Keeps a datagram until the silent members have answered; false if none of
-    // them is likely to, or there is no room.
+    // Holds a datagram until the silent members have answered. Returns false if
+    // none of them is likely to, or there is no room.
     bool add(time_point now, const packet_header& header, payload_view payload,
              const std::vector<candidate>& silent);
 
@@ -27,15 +27,15 @@
     std::vector<addressed_question> ask(time_point now, std::size_t room,
                                         const std::vector<candidate>& silent);
 
-    // A member answered, so that it is worth waiting for.
+    // Records that a member answers, so that later datagrams wait for it.
     void heard(upstream_tag from) { m_mute.erase(from); }
-    // A member said that it does not have the flow.
+    // Records that a member does not have the flow.
     void denied(std::uint64_t flow, upstream_tag by);
-    // Ends the wait for a flow that a member said it owns.
+    // Ends the wait for a flow whose owner has answered.
     std::optional<searched_flow> take(std::uint64_t flow);
-    // Ends the wait for flows that nobody owns who answers.
+    // Ends the wait for flows that no answering member owns.
     std::vector<searched_flow> take_unowned(time_point now);
-    // Ends the wait for all.
+    // Ends the wait for all flows.
     std::vector<searched_flow> take_all() { return m_search.take_all(); }
 
     bool empty() const { return m_search.empty(); }
--- a/packages/agent/include/crowlink/agent/upstream_announcement.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_announcement.hpp
@@ -11,24 +11,25 @@
 namespace crowlink
 {
 
-// What an upstream says of itself to the agent beside it, again and again.
+// What an upstream periodically announces to the agent beside it.
 struct upstream_announcement
 {
-    // Names the upstream; one that starts again may keep the name.
+    // Identifies the upstream; it may keep the name when it restarts.
     upstream_id id;
-    // Tells the lives of one name apart: the Unix time of the upstream's start
-    // in milliseconds. Absent where upstreams don't tell it; then each start
-    // has a name of its own.
+    // Distinguishes the incarnations of one name: the Unix time of the
+    // upstream's start in milliseconds. Absent when upstreams don't report it;
+    // each start then needs a name of its own.
     std::optional<incarnation> started;
     // The service's name.
     std::string service;
-    // Rises with each announcement of one life; a late one is known by it.
+    // Increases with each announcement of one incarnation, so that late ones
+    // are recognized.
     std::uint64_t sequence = 0;
-    // It keeps its flows and wants no new ones.
+    // The upstream keeps its flows and wants no new ones.
     bool leaves = false;
-    // How long it goes on being slower than usual after its start.
+    // How much longer the upstream is slower than usual after its start.
     duration warm_up_left{};
-    // Requests that it runs at the same time.
+    // The number of requests that the upstream runs concurrently.
     std::uint32_t slots = 0;
 
     friend auto operator<=>(const upstream_announcement&,
--- a/packages/agent/include/crowlink/agent/upstream_farewell.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_farewell.hpp
@@ -8,11 +8,11 @@
 namespace crowlink
 {
 
-// An upstream's last word to the agent beside it.
+// An upstream's notice to the agent beside it that it ends.
 struct upstream_farewell
 {
     upstream_id id;
-    // Which life of that name ends; absent for the present one.
+    // The incarnation that ends; absent for the present one.
     std::optional<incarnation> started;
 
     friend auto operator<=>(const upstream_farewell&,
--- a/packages/agent/include/crowlink/agent/upstream_life.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_life.hpp
@@ -13,78 +13,82 @@
 namespace crowlink
 {
 
-// The upstream beside an agent, as its announcements tell.
+// The state of the upstream beside an agent, according to its announcements.
 struct life_status
 {
     upstream_id id;
-    // Higher in each later life of the same name; absent until it is told.
+    // Higher in each later incarnation of the same name; absent until
+    // announced.
     std::optional<incarnation> started;
-    // Rises with each return after silence: flows of before are lost.
+    // Increases with each return after silence: earlier flows are lost.
     std::uint32_t returns = 0;
-    // Requests that it runs at the same time; 0 where it has not said.
+    // The number of requests that it runs concurrently; 0 until announced.
     std::uint32_t slots = 0;
-    // Whether it ran before this agent heard of it, so that it may hold flows.
+    // Whether it ran before the agent first heard it, so that it may hold
+    // flows.
     bool lived_on = false;
     bool leaves = false;
-    // Ended by its own word, or silent.
+    // Whether it has withdrawn or is silent.
     bool is_gone = false;
-    // Its sequence when the agent first heard it; 0 before it has spoken, and
-    // after a silence.
+    // The sequence of the first announcement that the agent heard; 0 before any
+    // announcement, and after a silence.
     std::uint64_t first_heard = 0;
-    // Until when it is cold after its start, by its newest word.
+    // The upstream is cold until then, by its latest announcement.
     time_point cold_until{};
 
-    // Whether it had just started when the agent first heard it. What it may
-    // hold from before is little, and was opened a moment ago.
+    // Whether it had just started when the agent first heard it. It then holds
+    // few earlier flows, all opened moments ago.
     bool is_young() const
     {
         return first_heard > 0 && first_heard <= last_young_sequence;
     }
 
-    // Upstreams announce themselves each second or so, and sooner while nobody
-    // answers.
+    // Upstreams announce themselves about once a second, and more often while
+    // nobody answers.
     static constexpr std::uint64_t last_young_sequence = 8;
 
     friend auto operator<=>(const life_status&, const life_status&) = default;
 };
 
-// Follows the lives of the upstream beside an agent, one after the other. A
-// life is a name and the time of its start: an upstream that starts again under
-// its name holds nothing of before, and its sequence begins anew. An
-// announcement of an ended life may come late, when the next one has begun at
-// the same address: it is refused. Without I/O.
+// Tracks the successive incarnations of the upstream beside an agent. An
+// incarnation is a name and a start time: an upstream that restarts under its
+// name holds no earlier flow, and its sequence restarts. An announcement of an
+// ended incarnation that arrives after the next one has begun at the same
+// address is refused. Without I/O.
 class upstream_life
 {
 public:
-    // Silence of `patience` counts as the upstream's end, until it is heard
+    // Silence for `patience` counts as the upstream's end, until it is heard
     // again.
     explicit upstream_life(duration patience) : m_patience(patience) {}
 
-    // `conflict` for a life that has ended, `invalid` where the start is
-    // missing that this life told before; what is older than the newest
-    // announcement of the same life is taken and changes nothing.
+    // Records an announcement. Fails with `conflict` for an incarnation that
+    // has ended, and with `invalid` if the start is missing that the
+    // incarnation announced before. An announcement older than the newest one
+    // of the same incarnation is accepted without effect.
     result<void> announce(time_point now,
                           const upstream_announcement& announced);
 
-    // The agent found the upstream by itself, at its own start, before any
-    // announcement. Changes nothing where one has come.
+    // The agent found the upstream at its own start, before any announcement.
+    // Has no effect after an announcement.
     void found(time_point now, const upstream_id& id, bool leaves);
 
-    // The upstream's port is closed: it has ended, whatever it said.
+    // The upstream's port is closed: it has ended, regardless of its
+    // announcements.
     void refused();
 
-    // The upstream ends by its own word. Of a life that is unknown or has
-    // ended nothing is changed.
+    // The upstream announces its end. Has no effect for an incarnation that is
+    // unknown or has ended.
     void withdraw(time_point now, const upstream_farewell& told);
 
-    // Notices silence.
+    // Detects silence.
     void tick(time_point now);
 
-    // Nothing before the first announcement.
+    // Empty before the first announcement.
     const std::optional<life_status>& status() const { return m_status; }
 
 private:
-    // A life that has ended.
+    // An incarnation that has ended.
     struct ended_life
     {
         upstream_id id;
--- a/packages/agent/src/admission.cpp
+++ b/packages/agent/src/admission.cpp
@@ -12,10 +12,11 @@
 {
 
 constexpr std::uint32_t default_weight = 100;
-// Without leave to shed, a judgement takes at most half of the share.
+// Without permission to shed, the share is reduced to no less than a half.
 constexpr std::uint32_t least_share_unpermitted = full_share / 2;
 constexpr duration trial_interval = std::chrono::seconds(1);
-// Where continuity comes first, a head this far above the mean keeps the flow.
+// When the goal is continuity, a head whose load exceeds the mean by up to this
+// much keeps the flow.
 constexpr std::uint32_t continuity_excess_percent = 10;
 
 std::uint64_t millionths(std::uint64_t used, std::uint64_t limit)
@@ -88,7 +89,7 @@
 
 bool admission::has_room_soon(time_point now) const
 {
-    // Callers repeat themselves after 200 and 400 ms more.
+    // Callers retransmit after 200 ms, and again 400 ms later.
     constexpr duration next_copy = std::chrono::milliseconds(400);
     const bool is_full = is_full_of_work() || !m_cold.allows(now);
     return is_full && m_cold.allows_within(now, next_copy);
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Peers that are told the load at each assessment.
+// The number of peers that get the load at each assessment.
 constexpr std::size_t peers_at_once = 2;
 
 std::size_t ready_members(const service_view& view)
@@ -64,17 +64,17 @@
     }
     else if (header.role == packet_role::continues)
     {
-        // After a restart of several agents each may have taken it for its
-        // own: the others are tried.
+        // After a restart of several agents each may have adopted the flow: the
+        // others are tried.
         m_returned.add(now, flow);
         look_elsewhere(now, header, again);
     }
     send_batch();
 }
 
-// Whoever is on a walk was met before the flow was taken up here. Another walk
-// for each that may have it would take packets of lost flows beyond the limit
-// of hops.
+// A packet on a walk was already forwarded past the other agents before the
+// flow was adopted here. Starting a walk from each agent that may have the flow
+// would take packets of lost flows beyond the hop limit.
 void agent::look_elsewhere(time_point now, const packet_header& header,
                            const packet_arrived& event)
 {
@@ -117,7 +117,7 @@
         end_and_tell(flow, refusal_reason::upstream_failed, false);
     }
     send_batch();
-    // Nothing but a new start of the agent ends this.
+    // The agent stays in this state until it restarts.
     m_leaving = true;
     m_admission.set_draining(true);
     set_state(upstream_state::gone);
@@ -127,7 +127,7 @@
 {
     m_adopt_until = now + m_settings.settle;
     m_adopt_old_until = now + m_settings.adoption;
-    // The walk meets whoever a table of the last few named.
+    // A walk visits every agent that a recent table lists.
     m_may_have_until = event.is_young ? now : m_adopt_old_until;
     m_admission.judge().assume_warm();
 }
@@ -147,7 +147,8 @@
     std::visit(
         [&](const auto& message)
         {
-            // Of a flow whose address moved, another service's agent tells.
+            // Redirects of a flow whose address moved come from another
+            // service's agent.
             constexpr bool may_be_other =
                 std::is_same_v<std::decay_t<decltype(message)>,
                                redirect_notice>;
@@ -274,7 +275,7 @@
 
 const candidate* agent::warden(candidate_chain& chain) const
 {
-    // The candidates of a flow that can't be.
+    // The candidates of the empty key, which no real flow has.
     chain = m_members.chain(flow_key());
     return chain.empty() ? nullptr : chain.begin();
 }
--- a/packages/agent/src/agent_admission.cpp
+++ b/packages/agent/src/agent_admission.cpp
@@ -116,8 +116,8 @@
     take(now, header, event, flow_action::admitted, "least_load");
 }
 
-// The candidates are gone round once, from the one that returned the packet
-// first; its position is kept as the best.
+// Tries the other candidates once each, in order after the one that returned
+// the packet first; `best` holds that one's position.
 void agent::place_elsewhere(time_point now, packet_header header,
                             const packet_arrived& event)
 {
@@ -156,8 +156,8 @@
     const refusal_reason reason = m_admission.is_draining()
                                       ? refusal_reason::leaving
                                       : refusal_reason::full;
-    // Work ends within milliseconds, so that a later copy may find room; a
-    // refusal now would only bring the caller back as a new flow.
+    // Work ends within milliseconds, so that a retransmission may be admitted;
+    // a refusal would only make the caller return with a new flow.
     if (event.comes_again && m_admission.has_room_soon(now))
     {
         ++m_counts.deferred;
@@ -206,15 +206,15 @@
         role == packet_role::any || role == packet_role::continues;
     const bool has_room = m_flows.open_count() <
                           2 * std::size_t{m_admission.limits().connections};
-    // Only a segment or a redirect tells surely that a flow is an old one.
+    // Only a segment or a redirect proves that a flow is an old one.
     const bool surely_old = role == packet_role::continues || was_redirected;
     const time_point until = surely_old ? m_adopt_old_until : m_adopt_until;
     if (now >= until || !may_be_old || !has_room)
     {
         return false;
     }
-    // Whether a datagram opens a flow can't be told, unless a redirect says
-    // so: an upstream that leaves must not get new ones.
+    // A datagram does not show whether it opens a flow unless a redirect says
+    // so, and an upstream that leaves must not get new flows.
     return surely_old || !m_admission.is_draining();
 }
 
--- a/packages/agent/src/agent_flows.cpp
+++ b/packages/agent/src/agent_flows.cpp
@@ -9,10 +9,10 @@
 {
 
 constexpr std::size_t flows_at_once = 4096;
-// A flow whose caller doesn't say that it waits counts as waiting once it has
-// sent so many packets in vain, over half of the silent time.
+// A flow whose packets don't show that they need an answer counts as waiting
+// after this many unanswered packets, over half of the silent time.
 constexpr std::uint16_t repeated = 3;
-// The part of the silent time after which a waiting flow is looked at again.
+// Waiting flows are checked this many times within the silent time.
 constexpr int silent_steps = 4;
 
 } // namespace
@@ -225,8 +225,8 @@
     {
         return false;
     }
-    // One datagram in vain may be an acknowledgement that a quiet feed's
-    // caller sent; a caller that repeats itself wants an answer.
+    // A single unanswered datagram may be an acknowledgement from the caller of
+    // a quiet stream; a caller that repeats datagrams expects an answer.
     const bool repeats =
         entry.waiting >= repeated &&
         entry.waiting_latest - entry.waiting_since >= silent_after / 2;
--- a/packages/agent/src/agent_lookup.cpp
+++ b/packages/agent/src/agent_lookup.cpp
@@ -1,7 +1,7 @@
 #include "crowlink/agent/agent.hpp"
 #include "crowlink/agent/chain_walk.hpp"
 
-// Where packets of flows that this agent does not have are sent.
+// Routing of packets whose flow this agent does not own.
 
 namespace crowlink
 {
@@ -11,14 +11,15 @@
 namespace
 {
 
-// A walk over two chains is done by then. Two agents that were told of an owner
-// which lost the flow can send a packet round: the owner gives it back to the
-// head, whose walk meets them again. What is known of the flow on the way has
-// led nowhere, and is forgotten, so that its caller can be reset.
+// A walk over two chains has ended after this many hops. Two agents that hold a
+// redirect to an owner which has lost the flow can form a loop: the owner
+// returns the packet to the head, whose walk visits them again. Redirects on
+// the way are then ignored and erased, so that the caller can be reset.
 constexpr std::uint8_t led_astray_after = 12;
 
-// The marks of a trail end one after another. Who starts to follow it needs
-// time to reach the last one, where the flow's owner is known.
+// The hints along a path expire one after another. A packet that starts to
+// follow them needs time to reach the last one, where the flow's owner is
+// known.
 duration margin_of(packet_pass pass)
 {
     switch (pass)
@@ -42,7 +43,7 @@
     if (header.hops >= internal::hop_limit)
     {
         ++m_counts.too_many_hops;
-        // Whatever is known here led nowhere.
+        // The stored entry, if any, did not lead to an owner.
         m_redirects.erase(header.flow);
         decide(flow_action::dropped, header.flow, header.table, candidate(),
                "too_many_hops");
@@ -54,8 +55,8 @@
         m_redirects.erase(header.flow);
         known = nullptr;
     }
-    // Whoever searches asked this agent itself; what it was told long ago must
-    // not turn the packet aside.
+    // A search asks this agent itself; an old redirect must not divert its
+    // packet.
     if (known != nullptr && !is_search)
     {
         const bool sent = known->is_mark()
@@ -126,8 +127,8 @@
                         const internal::redirect_entry& mark)
 {
     const packet_header& header = event.header;
-    // Those on a walk follow a walk's trail in their own way, and those that
-    // ask candidates have the end of the walk behind them.
+    // A packet on a walk handles the hints of walks itself, and a packet that
+    // asks candidates has passed the end of the walk.
     const bool from_walk = mark.kind == redirect_kind::walked;
     const bool is_behind =
         mark.kind == redirect_kind::ended && header.pass == packet_pass::admit;
@@ -152,8 +153,8 @@
         internal::ask_first(sent, mark.to);
         break;
     case redirect_kind::asked:
-        // Should it overtake the packet that it follows, it asks no further:
-        // its own chain might lead back along the trail.
+        // A packet that overtakes the one that it follows asks no further
+        // candidates: its own chain might lead back along the path.
         internal::ask_only(sent, mark.to);
         break;
     default:
@@ -170,7 +171,7 @@
     packet_header header = event.header;
     if (header.position != 0)
     {
-        // Who sent it here took this agent for the owner.
+        // The sender took this agent for the owner.
         if (may_adopt(now, header, true))
         {
             take(now, header, event, flow_action::adopted, "upstream_lived_on");
--- a/packages/agent/src/agent_packets.cpp
+++ b/packages/agent/src/agent_packets.cpp
@@ -38,11 +38,11 @@
     return route::deliver;
 }
 
-// Whether the packet is for an upstream that ran beside this agent before the
-// present one. Whoever sent it has not heard of the present one yet.
+// Whether the packet is for an earlier incarnation of this agent's upstream.
+// Its sender has not learned of the present one yet.
 bool agent::names_former_life(const packet_header& header) const
 {
-    // A datagram does not tell whether it belongs to a flow of before.
+    // A datagram does not show whether it belongs to an earlier flow.
     const bool is_told = header.role == packet_role::opens ||
                          header.role == packet_role::continues;
     const candidate* const addressed =
@@ -52,8 +52,8 @@
            addressed->agent == m_self.agent && addressed->tag != m_tag;
 }
 
-// The present upstream serves new flows as well as the former one would, and
-// whether another one has an old flow is found out as for any unknown flow.
+// The present upstream can serve new flows in place of its earlier incarnation,
+// and the owner of an old flow is looked for as for any unknown flow.
 agent::route agent::route_of_former_life(time_point now,
                                          const packet_arrived& event)
 {
@@ -74,8 +74,8 @@
                                         event.sequence});
 }
 
-// An opening packet that came here by mistake goes to the next candidate, so
-// that its caller need not wait to send it once more.
+// Forwards an opening packet that arrived here by mistake to the next
+// candidate, so that its caller need not wait for its own retransmission.
 void agent::pass_by(const packet_arrived& event)
 {
     packet_header header = event.header;
@@ -91,7 +91,7 @@
            "not_the_candidate");
 }
 
-// Whether a caller uses the addresses of a flow that has ended for a new one.
+// Whether a caller reuses the addresses of a finished flow for a new one.
 bool agent::is_new_again(const internal::flow_entry& entry,
                          const packet_arrived& event)
 {
@@ -101,9 +101,9 @@
 bool agent::is_for_this(const packet_arrived& event)
 {
     const packet_header& header = event.header;
-    // A flow that is open stays with its upstream when its address moves to
-    // another service: what surely belongs to a connection is taken by tag.
-    // New flows are admitted by agents of the header's service alone.
+    // An open flow stays with its upstream when its address moves to another
+    // service: packets that certainly belong to a connection are accepted by
+    // tag. New flows are admitted only by agents of the header's service.
     const bool may_be_older = header.role != packet_role::any &&
                               header.pass != packet_pass::admit &&
                               header.pass != packet_pass::place;
@@ -141,7 +141,8 @@
         check_redirects(now, entry, false);
         send_batch();
     }
-    // The walk over flows that have not been checked must still meet this one.
+    // An unchecked flow keeps its position, so that the iteration over
+    // unchecked flows still reaches it.
     if (entry.checked == m_check)
     {
         m_flows.touch(entry, now);
--- a/packages/agent/src/agent_redirects.cpp
+++ b/packages/agent/src/agent_redirects.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-// Owners renew a redirect this many times in its lifetime.
+// The number of renewals within a redirect's lifetime.
 constexpr int renewals_in_lifetime = 3;
-// A new redirect is sent once more within the settling time, since a notice
-// may be lost.
+// A new redirect is sent a second time after this fraction of the settling
+// time, since a notice may be lost.
 constexpr int repeat_in_settling = 3;
-// How often a head whose packets were looked up is told the owner.
+// The minimum interval between notices to a head whose packets were looked up.
 constexpr duration head_told_interval = std::chrono::milliseconds(100);
 
 std::uint32_t identity_of(const candidate_chain& agents)
@@ -27,7 +27,7 @@
     return agents.empty() ? 0 : static_cast<std::uint32_t>(hash) | 1U;
 }
 
-// Short of the value that stands for a decision.
+// Stays below the value that stands for a decision.
 duration age_of(const internal::flow_entry& entry, time_point now)
 {
     constexpr duration highest =
@@ -124,7 +124,7 @@
             publish(entry, chain[0], age_of(entry, now));
         }
     };
-    // Heads by other tables, which balancers may still use.
+    // The heads in other tables that balancers may still use.
     tell_too(header.current);
     if (header.previous.empty() || header.current.empty() ||
         header.previous[0] != header.current[0])
@@ -272,7 +272,8 @@
                          !m_members.has_ended(known->to.tag);
     if (differs)
     {
-        // Should the former owner still have the flow, the two settle it.
+        // If the earlier owner still has the flow, the two owners compare their
+        // ages.
         redirect_notice passed_on{message.service,
                                   known->to.tag,
                                   message.owner,
@@ -300,7 +301,8 @@
         publish(entry, rival, age);
         return true;
     }
-    // Ages are as of the sending: a second comparison might end otherwise.
+    // Ages are those at the time of sending: a second comparison might end
+    // differently.
     if (owned.age > age && !entry.outlasts_rivals)
     {
         return false;
--- a/packages/agent/src/agent_search.cpp
+++ b/packages/agent/src/agent_search.cpp
@@ -7,17 +7,18 @@
 namespace crowlink
 {
 
-// Who sends a packet of a flow that nobody on its way knows? Either an agent
-// beyond its chains has the flow, or its upstream is gone and the caller waits
-// in vain until its own deadline. The search tells the two apart: every member
-// of the service is asked. One whose agent has restarted may not know; it gets
-// the packet and tries its upstream, which returns what it does not hold. Once
-// every member has denied the flow, the caller is reset.
+// A packet of a flow that no agent on its path knows has two possible reasons:
+// an agent outside its chains has the flow, or the flow's upstream has ended
+// and the caller would wait for its own timeout. The search distinguishes them
+// by asking every member of the service. A member whose agent has restarted may
+// not know; it gets the packet and tries its upstream, which returns packets of
+// flows that it does not hold. When every member has denied the flow, the
+// caller is reset.
 void agent::start_search(time_point now, const packet_header& header,
                          const packet_arrived& event)
 {
-    // Where all that are silent are out of this host's own reach, it need not
-    // wait for the caller's repetition to know that nobody there answers.
+    // If all silent members are also unreachable from this host, the flow
+    // counts as unserved without a retransmission.
     const bool is_given_up =
         m_members.has_given_up_silent() && event.need == answer_need::required;
     const bool waits_in_vain =
@@ -73,9 +74,10 @@
     send(message.sender.agent, std::move(told));
 }
 
-// Nobody else can answer for an upstream that ran here before: it took its
-// flows with it. Whoever asks has not heard of its end yet. Where the present
-// life is not known by its name yet, the question may be meant for it.
+// Answers for an earlier incarnation of the upstream, whose flows ended with
+// it, because no other agent can. The sender has not learned of its end yet.
+// While the present incarnation is not known for certain, the question may be
+// meant for it.
 void agent::answer_for_former_life(const owner_question& message)
 {
     if (m_is_life_uncertain)
@@ -125,7 +127,8 @@
             m_search.denied(each.flow, message.sender.tag);
             break;
         case ownership::possible:
-            // Beyond the bound it says so again in the next round.
+            // Beyond the limit the copy is sent when the member answers the
+            // same in the next round.
             if (m_copies_left > 0)
             {
                 --m_copies_left;
@@ -141,7 +144,7 @@
     end_inquiries(now);
 }
 
-// A copy of the packet came to this agent alone, which may have its flow.
+// Handles a copy that was sent to this agent alone, as a possible owner.
 void agent::search(time_point now, const packet_header& header,
                    const packet_arrived& event)
 {
@@ -156,7 +159,7 @@
     }
 }
 
-// Tells whoever sent a copy that this agent does not have the flow.
+// Tells the sender of a copy that this agent does not have the flow.
 void agent::deny(const packet_header& header)
 {
     if (header.previous.empty())
@@ -169,8 +172,8 @@
          owner_answer{m_record.service, asker.tag, m_self, {state}});
 }
 
-// The copy goes no further than to its receiver, which finds the sender in its
-// previous chain.
+// The copy is not forwarded beyond its receiver, which finds the sender in the
+// copy's previous chain.
 void agent::send_copy(const internal::searched_flow& searched,
                       const candidate& to, std::string_view reason)
 {
@@ -192,7 +195,8 @@
     m_ended_searches.push_back(std::move(searched));
     const internal::searched_flow& ended = m_ended_searches.back();
     packet_header sent = ended.header;
-    // Not as from a head that knows the owner: it is to be told.
+    // A hop count other than that of a head that knows the owner, so that the
+    // owner notifies the head.
     sent.hops = 1;
     internal::look_up_at(sent, owner);
     ++m_counts.redirected;
@@ -213,8 +217,8 @@
     }
 }
 
-// Those that control does not hear may have the flow and serve it: each gets a
-// copy, and only a caller that repeats itself all the same is reset.
+// Silent members may have the flow and serve it: each gets a copy, and the
+// caller is reset only if it still retransmits.
 void agent::end_search(const internal::searched_flow& searched)
 {
     const std::vector<candidate> silent = m_members.silent_members();
@@ -251,7 +255,8 @@
                        });
 }
 
-// Whether a caller waits in vain for a flow that was sent to silent upstreams.
+// Whether a caller retransmits on a flow whose packets were sent to silent
+// upstreams.
 bool agent::gives_up(time_point now, const packet_arrived& event)
 {
     const flow_key& flow = event.header.flow;
--- a/packages/agent/src/agent_silent.cpp
+++ b/packages/agent/src/agent_silent.cpp
@@ -3,13 +3,14 @@
 
 #include <utility>
 
-// Flows of members that control does not hear, and that may serve on.
+// Flows of members that control does not hear and that may still serve them.
 
 namespace crowlink
 {
 
-// Whether a walk leaves out a candidate here. Agents that know other views may
-// not know that it was left out, so that each asks for itself.
+// Whether a walk skips a silent candidate of the packet's chains. Agents with
+// other views may not know that it was skipped, so that each agent asks for
+// itself.
 bool agent::passes_silent(const packet_header& header) const
 {
     const std::size_t count = header.current.size() + header.previous.size();
@@ -23,8 +24,8 @@
     return false;
 }
 
-// Keeps a datagram that may belong to a flow of a silent member, and asks them.
-// Whether it was kept.
+// Holds a datagram that may belong to a flow of a silent member, and asks the
+// silent members. Returns whether it was held.
 bool agent::ask_silent(time_point now, const packet_header& header,
                        const packet_arrived& event)
 {
@@ -52,8 +53,8 @@
     end_inquiries(now);
 }
 
-// One whose agent has restarted does not know which flows its upstream has;
-// it must not get new ones, so that this counts as no.
+// A member whose agent has restarted does not know which flows its upstream
+// has; it must not get new ones, so that its answer counts as a denial.
 void agent::take_silent_answer(const candidate& sender,
                                const stated_ownership& told)
 {
@@ -68,8 +69,8 @@
     }
 }
 
-// A member that was asked may be heard by control again. It is no silent one
-// then, and is met on a walk.
+// A member that was asked may be heard by control again. It is then no longer
+// silent, and a walk visits it.
 void agent::begin_inquiries_anew(time_point now)
 {
     for (internal::searched_flow& each : m_inquiry.take_all())
@@ -81,8 +82,8 @@
     }
 }
 
-// Nobody who answers owns them: they go on from here as they came, unless
-// another way has led to an owner meanwhile.
+// No answering member owns these flows: they continue from here as they
+// arrived, unless an owner has become known in the meantime.
 void agent::end_inquiries(time_point now)
 {
     for (internal::searched_flow& each : m_inquiry.take_unowned(now))
--- a/packages/agent/src/agent_walk.cpp
+++ b/packages/agent/src/agent_walk.cpp
@@ -31,11 +31,12 @@
     forward(header, event, flow_action::looked_up, "owner_unknown");
 }
 
-// Agents are met in one order, and each packet goes where the one before it
-// went as well as along its own chains. So two packets whose chains share an
-// agent end up at the same last one, and that one decides. What an agent on
-// the way knows beyond the packet's chains joins them. A former life of the
-// upstream keeps its own place in that order, so that none is met twice.
+// Walks visit agents in one fixed order, and each packet follows the path of
+// the one before it as well as its own chains. Two packets whose chains share
+// an agent therefore end at the same last agent, and that one decides.
+// Candidates that an agent on the path knows beyond the packet's chains are
+// added to them. An earlier incarnation of the upstream keeps its own position
+// in the order, so that none is visited twice.
 void agent::walk(time_point now, packet_header header,
                  const packet_arrived& event, const candidate& as,
                  inquiry asked)
@@ -82,8 +83,8 @@
     forward(header, event, flow_action::looked_up, "owner_unknown");
 }
 
-// The first of those that joined the packet's chains here and come before
-// this agent in the order of the walk; the walk goes on from there.
+// The first of the candidates that were added here and precede this agent in
+// the order of the walk; the walk continues from it.
 const candidate* agent::missed_on_walk(const packet_header& header,
                                        const candidate_chain& before,
                                        const candidate& as) const
--- a/packages/agent/src/load_board.cpp
+++ b/packages/agent/src/load_board.cpp
@@ -6,7 +6,8 @@
 namespace
 {
 
-// Longer than it takes to hear again from a peer of a service of many members.
+// Longer than the interval between two notices from a peer of a service with
+// many members.
 constexpr duration recent = std::chrono::seconds(10);
 
 } // namespace
--- a/packages/agent/src/member_tables.cpp
+++ b/packages/agent/src/member_tables.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-// Tables kept from within the settling time, and tags of those who left.
+// The limits of stored tables of the settling time, and of stored tags of
+// members that have left.
 constexpr std::size_t tables_kept = 8;
 constexpr std::size_t gone_kept = 128;
 
@@ -150,8 +151,8 @@
     {
         for (const candidate& next : table.chain(hash))
         {
-            // Only those that are still to come may take the place of one
-            // that was met, else the walk might go round for ever.
+            // Only candidates that are still ahead may replace one that was
+            // visited, otherwise the walk might never end.
             const bool is_ahead = walk_order(hash, next) > here;
             is_ahead ? add_on_walk(header, next) : add_unseen(header, next);
         }
--- a/packages/agent/src/owner_search.cpp
+++ b/packages/agent/src/owner_search.cpp
@@ -101,7 +101,7 @@
     return questions;
 }
 
-// Who has ended can't have the flow, and who is new to this agent may.
+// A member that has ended can't have the flow, and a newly known one may.
 void owner_search::meet(const std::vector<candidate>& members)
 {
     std::vector<upstream_tag> present = tags_of(members);
--- a/packages/agent/src/progress_judge.cpp
+++ b/packages/agent/src/progress_judge.cpp
@@ -14,10 +14,10 @@
 constexpr std::uint32_t enter_shedding = full_share / 4;
 constexpr std::uint32_t leave_shedding = full_share / 2;
 constexpr std::uint32_t least_warmth = full_share / 10;
-// So many answers prove an upstream warm.
+// This many answers prove an upstream warm.
 constexpr std::uint64_t warm_answers = 32;
-// So many questions without any answer show that answers are missing; fewer
-// may be datagrams that need none.
+// This many packets without any answer show that answers are missing; fewer may
+// be datagrams that need none.
 constexpr std::uint64_t asked_in_vain = 4;
 
 } // namespace
@@ -80,7 +80,7 @@
         return full_share;
     }
     const duration age = m_now - m_started;
-    // An upstream that nobody asked anything has had no chance to prove itself.
+    // An upstream that got no request has had no chance to prove itself.
     const bool proven =
         m_answers >= warm_answers || (!m_waiting && age >= 3 * m_cold_start);
     if (proven && age >= m_cold_start)
--- a/packages/agent/src/repeat_watch.cpp
+++ b/packages/agent/src/repeat_watch.cpp
@@ -15,7 +15,7 @@
         }
         return false;
     }
-    // Sequences wrap around: the sign of the difference tells the order.
+    // Sequences wrap around: the sign of the difference gives the order.
     const auto ahead =
         static_cast<std::int32_t>(sequence - known->second.sequence);
     const bool goes_on = ahead > 0;
--- a/packages/agent/src/shed_warden.cpp
+++ b/packages/agent/src/shed_warden.cpp
@@ -17,7 +17,8 @@
     if (is_warden && !m_is_warden)
     {
         m_holders.clear();
-        // The former warden may hear of it as much later as a grant lasts.
+        // The previous coordinator may learn of the change later by up to the
+        // lifetime of a grant, and its last grant lasts as long again.
         m_grants_from = now + 2 * m_lifetime;
     }
     m_is_warden = is_warden;
--- a/packages/agent/src/silent_inquiry.cpp
+++ b/packages/agent/src/silent_inquiry.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 
-// A flow is asked for when its datagram comes, and again at each tick until
-// its caller would soon repeat itself.
+// A flow is asked about when its datagram arrives, and again at each tick until
+// its caller is about to retransmit.
 constexpr search_times inquiry_times{std::chrono::milliseconds(1),
                                      std::chrono::milliseconds(150), false};
-// How long a member that did not answer is left out, doubled up to the longest.
+// How long a member that did not answer is skipped; the time doubles up to the
+// longest.
 constexpr duration shortest_mute = std::chrono::seconds(5);
 constexpr duration longest_mute = std::chrono::minutes(10);
-// Members that are remembered as mute.
+// The limit of members that are recorded as unresponsive.
 constexpr std::size_t most_mute = 1024;
 
 } // namespace
--- a/packages/agent/src/upstream_life.cpp
+++ b/packages/agent/src/upstream_life.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// More lives than an upstream has in the time that a message may be late.
+// More incarnations than an upstream has while a message may be delayed.
 constexpr std::size_t ended_kept = 64;
-// The first announcement of a life, counted from 0 or from 1.
+// The first announcement of an incarnation, counted from 0 or from 1.
 constexpr std::uint64_t first_sequence = 1;
 
 } // namespace
@@ -53,7 +53,8 @@
     return {};
 }
 
-// Nothing where it is warm, so that its words do not differ from each other.
+// A fixed value when it is warm, so that its announcements do not differ from
+// each other.
 time_point upstream_life::cold_until(time_point now,
                                      const upstream_announcement& announced)
 {
@@ -67,24 +68,25 @@
     if (has_ended(announced))
     {
         return fail(error_kind::conflict, announced.id.value(),
-                    "this life of the upstream has ended");
+                    "this incarnation of the upstream has ended");
     }
     const bool same_name = m_status && m_status->id == announced.id;
     if (same_name && m_status->started && !announced.started)
     {
         return fail(error_kind::invalid, announced.id.value(),
-                    "must tell its start, as this life did before");
+                    "must announce its start, as this incarnation did before");
     }
     if (same_name && m_status->started > announced.started)
     {
         return fail(error_kind::conflict, announced.id.value(),
-                    "a later life of the upstream has begun");
+                    "a later incarnation of the upstream has begun");
     }
     return {};
 }
 
-// A start that is told for the first time belongs to the life that is known:
-// taking it for a new one would end flows that the upstream may hold.
+// A start that is announced for the first time belongs to the known
+// incarnation: treating it as a new one would end flows that the upstream may
+// hold.
 bool upstream_life::is_new_life(const upstream_announcement& announced) const
 {
     if (!m_status || m_status->id != announced.id)
@@ -151,8 +153,8 @@
     }
 }
 
-// An ended life that told its start leaves room for later ones of its name; one
-// that did not ended its name.
+// An ended incarnation with a known start allows later ones of its name; one
+// without ended the name.
 bool upstream_life::has_ended(const upstream_announcement& announced) const
 {
     return std::any_of(m_ended.begin(), m_ended.end(),
