--- a/packages/agent/include/crowlink/agent/admission.hpp
+++ b/packages/agent/include/crowlink/agent/admission.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "crowlink/agent/cold_gate.hpp"
-#include "crowlink/agent/load_board.hpp"
-#include "crowlink/agent/progress_judge.hpp"
+#include "crowlink/agent/cold_start_limiter.hpp"
+#include "crowlink/agent/peer_loads.hpp"
+#include "crowlink/agent/progress_monitor.hpp"
 #include "crowlink/base/time.hpp"
 #include "crowlink/model/service.hpp"
 
@@ -23,7 +23,7 @@
               std::uint32_t work_per_slot = 0, std::uint32_t slots = 0)
         : m_work_per_slot(work_per_slot)
         , m_announced_slots(slots)
-        , m_judge(stall_after, started)
+        , m_progress(stall_after, started)
     {
     }
 
@@ -35,13 +35,13 @@
     void started(std::uint32_t weight) { m_work += weight; }
     void ended(time_point now, std::uint32_t weight, bool completed);
 
-    progress_judge& judge() { return m_judge; }
-    const progress_judge& judge() const { return m_judge; }
+    progress_monitor& progress() { return m_progress; }
+    const progress_monitor& progress() const { return m_progress; }
     const sharing_policy& sharing() const { return m_sharing; }
     // Whether the upstream takes no new flow: it is judged stalled and has
     // permission to shed.
     bool is_shedding(time_point now) const;
-    load_board& peers() { return m_peers; }
+    peer_loads& peers() { return m_peers; }
 
     void assess(time_point now);
 
@@ -58,7 +58,7 @@
     bool has_room_soon(time_point now) const;
 
     // The rate limit that holds after the upstream's start.
-    cold_gate& cold() { return m_cold; }
+    cold_start_limiter& cold() { return m_cold; }
 
     // Whether one more flow is within the limits. A shedding upstream gets a
     // trial flow from time to time.
@@ -83,9 +83,9 @@
     std::uint32_t m_weight = 100;
     bool m_draining = false;
     std::uint64_t m_work = 0;
-    cold_gate m_cold;
-    progress_judge m_judge;
-    load_board m_peers;
+    cold_start_limiter m_cold;
+    progress_monitor m_progress;
+    peer_loads m_peers;
     time_point m_now{};
     time_point m_shed_until{};
     time_point m_next_trial{};
--- a/packages/agent/include/crowlink/agent/agent.hpp
+++ b/packages/agent/include/crowlink/agent/agent.hpp
@@ -12,10 +12,10 @@
 #include "crowlink/agent/owner_search.hpp"
 #include "crowlink/agent/redirect_batch.hpp"
 #include "crowlink/agent/redirect_table.hpp"
-#include "crowlink/agent/repeat_watch.hpp"
+#include "crowlink/agent/retransmission_detector.hpp"
 #include "crowlink/agent/returned_flows.hpp"
-#include "crowlink/agent/shed_warden.hpp"
-#include "crowlink/agent/silent_inquiry.hpp"
+#include "crowlink/agent/shed_coordinator.hpp"
+#include "crowlink/agent/silent_member_query.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -94,7 +94,7 @@
 
     // Whether this agent has already asked the silent members about a
     // datagram's flow.
-    enum class inquiry : bool
+    enum class silent_query : bool
     {
         due,
         done,
@@ -102,61 +102,63 @@
 
     // Packets.
     route route_of(time_point now, const packet_arrived& event);
-    static bool is_new_again(const internal::flow_entry& entry,
-                             const packet_arrived& event);
-    bool is_for_this(const packet_arrived& event);
-    bool names_former_life(const packet_header& header) const;
-    route route_of_former_life(time_point now, const packet_arrived& event);
-    void pass_by(const packet_arrived& event);
+    static bool reuses_closed_flow(const internal::flow_entry& entry,
+                                   const packet_arrived& event);
+    bool is_addressed_here(const packet_arrived& event);
+    bool is_for_former_incarnation(const packet_header& header) const;
+    route route_of_former_incarnation(time_point now,
+                                      const packet_arrived& event);
+    void forward_misaddressed(const packet_arrived& event);
     void deliver_known(time_point now, internal::flow_entry& entry,
                        const packet_arrived& event);
     void end_by_caller(time_point now, internal::flow_entry& entry,
                        const packet_arrived& event);
     void find_or_place(time_point now, const packet_arrived& event);
     void continue_pass(time_point now, const packet_arrived& event,
-                       inquiry asked);
+                       silent_query asked);
     bool follow_redirect(time_point now, const packet_arrived& event,
                          const internal::redirect_entry& known);
-    bool follow_mark(time_point now, const packet_arrived& event,
-                     const internal::redirect_entry& mark);
+    bool follow_hint(time_point now, const packet_arrived& event,
+                     const internal::redirect_entry& hint);
     void look_up(time_point now, const packet_arrived& event);
     void return_to_head(time_point now, packet_header header,
                         const packet_arrived& event);
     void start_walk(time_point now, packet_header header,
-                    const packet_arrived& event, inquiry asked = inquiry::due);
+                    const packet_arrived& event,
+                    silent_query asked = silent_query::due);
     void walk(time_point now, packet_header header, const packet_arrived& event,
-              const candidate& as, inquiry asked = inquiry::due);
+              const candidate& as, silent_query asked = silent_query::due);
     const candidate* missed_on_walk(const packet_header& header,
                                     const candidate_chain& before,
                                     const candidate& as) const;
     const candidate* next_on_walk(const packet_header& header,
                                   std::uint64_t after) const;
     void end_walk(time_point now, packet_header header,
-                  const packet_arrived& event, inquiry asked);
-    bool gives_up(time_point now, const packet_arrived& event);
+                  const packet_arrived& event, silent_query asked);
+    bool caller_retransmits(time_point now, const packet_arrived& event);
     void reset_silent(const packet_header& header, payload_view payload);
 
     // Owner searches.
-    void look_elsewhere(time_point now, const packet_header& header,
-                        const packet_arrived& event);
+    void search_elsewhere(time_point now, const packet_header& header,
+                          const packet_arrived& event);
     void start_search(time_point now, const packet_header& header,
                       const packet_arrived& event);
     void ask_members(time_point now);
     void send_questions(std::vector<internal::addressed_question> questions);
-    bool passes_silent(const packet_header& header) const;
-    bool ask_silent(time_point now, const packet_header& header,
-                    const packet_arrived& event);
-    void continue_inquiry(time_point now);
-    void take_silent_answer(const candidate& sender,
-                            const stated_ownership& told);
-    void begin_inquiries_anew(time_point now);
-    void end_inquiries(time_point now);
-    void go_on(time_point now, const packet_arrived& event);
-    void go_on_from_head(time_point now, const packet_arrived& event);
-    void take_in(time_point now, const endpoint& from,
+    bool skips_silent(const packet_header& header) const;
+    bool query_silent_members(time_point now, const packet_header& header,
+                              const packet_arrived& event);
+    void continue_silent_query(time_point now);
+    void receive_silent_answer(const candidate& sender,
+                               const stated_ownership& told);
+    void restart_silent_queries(time_point now);
+    void end_silent_queries(time_point now);
+    void resume(time_point now, const packet_arrived& event);
+    void resume_at_head(time_point now, const packet_arrived& event);
+    void receive(time_point now, const endpoint& from,
                  const owner_question& message);
-    void answer_for_former_life(const owner_question& message);
-    void take_in(time_point now, const endpoint& from,
+    void answer_for_former_incarnation(const owner_question& message);
+    void receive(time_point now, const endpoint& from,
                  const owner_answer& message);
     ownership ownership_of(time_point now, const flow_key& flow);
     void search(time_point now, const packet_header& header,
@@ -173,11 +175,11 @@
     void reset_unknown(const packet_header& header, payload_view payload);
     void start_admission(time_point now, packet_header header,
                          const packet_arrived& event,
-                         inquiry asked = inquiry::due);
-    void ask_to_admit(time_point now, packet_header header,
-                      const packet_arrived& event);
-    void ask_next(time_point now, packet_header header,
-                  const packet_arrived& event);
+                         silent_query asked = silent_query::due);
+    void evaluate_admission(time_point now, packet_header header,
+                            const packet_arrived& event);
+    void ask_next_candidate(time_point now, packet_header header,
+                            const packet_arrived& event);
     void choose(time_point now, packet_header header,
                 const packet_arrived& event);
     void place(time_point now, const packet_header& header,
@@ -186,15 +188,15 @@
                          const packet_arrived& event);
     void refuse(time_point now, const packet_header& header,
                 const packet_arrived& event);
-    void take(time_point now, const packet_header& header,
-              const packet_arrived& event, flow_action how,
-              std::string_view reason);
+    void accept_flow(time_point now, const packet_header& header,
+                     const packet_arrived& event, flow_action how,
+                     std::string_view reason);
     bool may_adopt(time_point now, const packet_header& header,
                    bool was_redirected) const;
     void forward(packet_header header, const packet_arrived& event,
                  flow_action how, std::string_view reason);
-    void leave_mark(time_point now, const packet_header& header,
-                    const candidate& to, internal::redirect_kind kind);
+    void record_hint(time_point now, const packet_header& header,
+                     const candidate& to, internal::redirect_kind kind);
     std::size_t next_usable(const packet_header& header,
                             std::size_t from) const;
 
@@ -203,11 +205,11 @@
     void note_caller_packet(time_point now, internal::flow_entry& entry,
                             answer_need need);
     void end_flow(const flow_key& flow, std::string_view reason);
-    void end_and_tell(const flow_key& flow, refusal_reason reason,
-                      bool tell_upstream);
+    void reset_flow(const flow_key& flow, refusal_reason reason,
+                    bool notify_upstream);
     void close_idle(time_point now);
     void close_finished(time_point now);
-    void find_silent(time_point now);
+    void reset_silent_flows(time_point now);
     bool is_silent(time_point now, const internal::flow_entry& entry) const;
     time_point others_answered(const flow_key& flow) const;
     void note_finished(time_point now, internal::flow_entry& entry);
@@ -219,13 +221,13 @@
     // Redirects.
     void check_redirects(time_point now, internal::flow_entry& entry,
                          bool renew);
-    candidate_chain agents_to_tell(const flow_key& flow) const;
+    candidate_chain agents_to_notify(const flow_key& flow) const;
     void publish(const internal::flow_entry& entry, const candidate& to,
                  duration age);
     void publish_opened(time_point now, internal::flow_entry& entry,
                         const packet_header& header);
-    void tell_head(time_point now, internal::flow_entry& entry,
-                   const packet_header& header);
+    void notify_head(time_point now, internal::flow_entry& entry,
+                     const packet_header& header);
     void withdraw(const internal::flow_entry& entry);
     void continue_check(time_point now);
     void schedule_renewal(time_point now, internal::flow_entry& entry,
@@ -246,23 +248,23 @@
     void on(time_point now, const work_started& event);
     void on(time_point now, const work_ended& event);
     void on(time_point now, const tick& event);
-    void take_in(time_point now, const endpoint& from,
+    void receive(time_point now, const endpoint& from,
                  const redirect_notice& message);
-    void take_in(time_point now, const endpoint& from,
+    void receive(time_point now, const endpoint& from,
                  const load_notice& message);
-    void take_in(time_point now, const endpoint& from,
+    void receive(time_point now, const endpoint& from,
                  const shed_request& message);
-    void take_in(time_point now, const endpoint& from,
+    void receive(time_point now, const endpoint& from,
                  const shed_grant& message);
-    void take_redirect(time_point now, const redirect_notice& message,
-                       const owned_flow& owned);
-    bool keeps_against(time_point now, internal::flow_entry& entry,
-                       const candidate& rival, const owned_flow& owned);
+    void receive_redirect(time_point now, const redirect_notice& message,
+                          const owned_flow& owned);
+    bool keeps_ownership(time_point now, internal::flow_entry& entry,
+                         const candidate& rival, const owned_flow& owned);
     void set_state(upstream_state state);
     void assess(time_point now);
-    void tell_load();
-    void ask_to_shed(time_point now);
-    const candidate* warden(candidate_chain& chain) const;
+    void send_loads();
+    void request_shedding(time_point now);
+    const candidate* coordinator(candidate_chain& chain) const;
     void send_batch();
 
     void decide(flow_action action, const flow_key& flow, std::uint64_t table,
@@ -276,17 +278,17 @@
     internal::redirect_table m_redirects;
     internal::member_tables m_members;
     internal::admission m_admission;
-    internal::shed_warden m_warden;
+    internal::shed_coordinator m_shed_coordinator;
     internal::effect_queue m_effects;
     internal::redirect_batch m_batch;
     internal::deadline_queue m_renewals;
     internal::deadline_queue m_repeats;
     internal::deadline_queue m_watched;
     internal::deadline_queue m_lingering;
-    internal::repeat_watch m_repeated;
+    internal::retransmission_detector m_retransmissions;
     internal::returned_flows m_returned;
     internal::owner_search m_search;
-    internal::silent_inquiry m_inquiry;
+    internal::silent_member_query m_silent_query;
     // Searches that ended with the current event; its effects refer to their
     // payloads.
     std::vector<internal::searched_flow> m_ended_searches;
@@ -303,7 +305,7 @@
 
     bool m_announced = false;
     bool m_leaving = false;
-    bool m_is_life_uncertain = false;
+    bool m_is_incarnation_uncertain = false;
     // Flows that may be old are adopted until the first time, flows that are
     // certainly old until the second, after a restart beside a running
     // upstream.
@@ -311,7 +313,7 @@
     time_point m_adopt_old_until{};
     // Until then the upstream may hold a flow whose chain in the recent tables
     // does not list it.
-    time_point m_may_have_until{};
+    time_point m_may_hold_until{};
     time_point m_next_assessment{};
     std::size_t m_next_peer = 0;
     // The time of the latest answer, and of the latest answer on another flow
--- a/packages/agent/include/crowlink/agent/agent_events.hpp
+++ b/packages/agent/include/crowlink/agent/agent_events.hpp
@@ -38,7 +38,7 @@
     bool finishes = false;
     // The caller retransmits by itself when nothing arrives: a flow that can't
     // be opened now need not be refused yet.
-    bool comes_again = false;
+    bool will_retransmit = false;
     // The packet's offset in the caller's byte stream: retransmissions of a
     // packet have the same sequence.
     std::uint32_t sequence = 0;
@@ -92,7 +92,7 @@
     bool is_second_before_unknown = false;
     // The agent found the upstream at its own start, and may identify its
     // incarnation differently from peers until the upstream announces itself.
-    bool is_life_uncertain = false;
+    bool is_incarnation_uncertain = false;
 };
 
 // Another agent sent a message.
--- a/packages/agent/include/crowlink/agent/chain_walk.hpp
+++ b/packages/agent/include/crowlink/agent/chain_walk.hpp
@@ -27,8 +27,8 @@
 
 // Removes from the previous chain the agents of the current one, and adds an
 // agent to it unless it is listed or the chain is full.
-void drop_repeated(packet_header& header);
-void add_unseen(packet_header& header, const candidate& next);
+void remove_duplicates(packet_header& header);
+void add_if_absent(packet_header& header, const candidate& next);
 
 // Adds an agent to the previous chain of a packet on a walk; in a full chain it
 // replaces an agent that the walk has already visited.
@@ -37,17 +37,18 @@
 // Addresses the header to an agent. An unlisted agent becomes the last of the
 // current chain; on the lookup pass it replaces the whole previous chain.
 void address_to(packet_header& header, const candidate& to);
-void look_up_at(packet_header& header, const candidate& to);
+void address_lookup_to(packet_header& header, const candidate& to);
 
 // Makes an agent the first of the current chain; the other candidates follow.
-void ask_first(packet_header& header, const candidate& first);
+void set_first_candidate(packet_header& header, const candidate& first);
 // Makes an agent the only one of the current chain.
-void ask_only(packet_header& header, const candidate& only);
+void set_only_candidate(packet_header& header, const candidate& only);
 
 // Replaces every candidate at an agent's address by the present one: the others
 // are earlier incarnations of its upstream. Returns whether the header is then
 // addressed to it.
-bool replace_former_life(packet_header& header, const candidate& present);
+bool replace_former_incarnation(packet_header& header,
+                                const candidate& present);
 
 // An agent's position in the order of walks for a flow. All agents compute the
 // same order, and it differs between flows, so that the last agents of walks
--- a/packages/agent/include/crowlink/agent/cold_gate.hpp
+++ b/packages/agent/include/crowlink/agent/cold_start_limiter.hpp
@@ -13,7 +13,7 @@
 // beside it sees all new flows from all senders, so that the limit is exact: it
 // holds for every span of a second, whereas a token bucket's holds only on
 // average.
-class cold_gate
+class cold_start_limiter
 {
 public:
     // The limit for any second while the upstream is cold; 0 sets none.
@@ -22,7 +22,10 @@
     void set_cold_until(time_point until) { m_cold_until = until; }
     // The flows of the previous second are unknown: none is allowed until a
     // whole window has passed.
-    void forget(time_point now) { m_blind_until = now + window; }
+    void mark_history_unknown(time_point now)
+    {
+        m_history_unknown_until = now + window;
+    }
 
     bool allows(time_point now) const;
     // Whether one more flow will be allowed after this time.
@@ -40,7 +43,7 @@
     // between here and the upstream varies.
     static constexpr duration window = std::chrono::milliseconds(1050);
 
-    bool is_bounding(time_point now) const
+    bool is_limiting(time_point now) const
     {
         return m_limit > 0 && now < m_cold_until;
     }
@@ -48,7 +51,7 @@
 
     std::uint32_t m_limit = 0;
     time_point m_cold_until{};
-    time_point m_blind_until{};
+    time_point m_history_unknown_until{};
     // The times of the latest flows, oldest first; no more than the limit.
     std::deque<time_point> m_admitted;
 };
--- a/packages/agent/include/crowlink/agent/flow_entry.hpp
+++ b/packages/agent/include/crowlink/agent/flow_entry.hpp
@@ -41,13 +41,13 @@
     bool repeating = false;
     // Whether the agent has told a competing owner to yield; it then keeps the
     // flow.
-    bool outlasts_rivals = false;
+    bool is_ownership_settled = false;
     // When the head was last notified because a packet had to be looked up.
-    time_point head_told_at{};
+    time_point head_notified_at{};
     // The generation of tables that the redirects were checked against.
     std::uint32_t checked = 0;
     // Identifies the agents that were notified of the flow; zero if none was.
-    std::uint32_t told = 0;
+    std::uint32_t notified = 0;
 };
 
 } // namespace crowlink::internal
--- a/packages/agent/include/crowlink/agent/member_tables.hpp
+++ b/packages/agent/include/crowlink/agent/member_tables.hpp
@@ -47,15 +47,15 @@
 
     // Adds to the header's previous chain the candidates of this agent's
     // tables, the present one and those of the settling time, that it lacks.
-    void widen(packet_header& header, time_point now) const;
+    void add_known_candidates(packet_header& header, time_point now) const;
 
     // Whether the present table, or one of the settling time, lists the member
     // in the flow's chain; true before the first table.
-    bool names(time_point now, const flow_key& flow,
+    bool lists(time_point now, const flow_key& flow,
                const candidate& member) const;
 
     // All members except the given one and those that have ended or are silent.
-    std::vector<candidate> others(upstream_tag than) const;
+    std::vector<candidate> others(upstream_tag excluded) const;
     // The members that control no longer hears.
     std::vector<candidate> silent_members() const;
     bool is_member(upstream_tag tag) const;
@@ -74,7 +74,7 @@
     // Whether there are silent members, and all of them are given up.
     bool has_given_up_silent() const;
     // Whether the member has ended or is silent: nothing new is sent to it.
-    bool is_gone(upstream_tag tag) const;
+    bool is_unavailable(upstream_tag tag) const;
     // Whether a balancer is listed in the view; true while no balancer is
     // known.
     bool is_living_balancer(const endpoint& balancer) const;
@@ -88,7 +88,7 @@
 
     void note_members(const service_view& next, change& found);
     void note_silent(const service_view& next);
-    void note_gone(upstream_tag tag);
+    void note_ended(upstream_tag tag);
     void replace_table(time_point now,
                        std::shared_ptr<const forwarding_table> next);
 
@@ -99,7 +99,7 @@
     std::shared_ptr<const forwarding_table> m_table;
     // Oldest first.
     std::deque<replaced_table> m_replaced;
-    std::vector<upstream_tag> m_gone;
+    std::vector<upstream_tag> m_ended;
     // The silent members of the present view.
     std::vector<upstream_tag> m_silent;
     // The silent members whose flows are given up.
--- a/packages/agent/include/crowlink/agent/owner_search.hpp
+++ b/packages/agent/include/crowlink/agent/owner_search.hpp
@@ -22,11 +22,11 @@
     packet_header header;
     std::vector<std::uint8_t> payload;
     // The caller has retransmitted, so that nobody serves the flow.
-    bool waits_in_vain = false;
+    bool is_unserved = false;
     // When the caller has given up, unless it retransmits again.
     time_point until{};
     // Members that have not denied the flow yet; sorted.
-    std::vector<upstream_tag> unheard;
+    std::vector<upstream_tag> pending;
 };
 
 static_assert(std::is_nothrow_move_constructible_v<searched_flow>,
@@ -75,7 +75,7 @@
     // Starts a search, or replaces the packet of a running one. Returns whether
     // there was room.
     bool add(time_point now, const packet_header& header, payload_view payload,
-             bool waits_in_vain);
+             bool is_unserved);
 
     // The questions that are due, up to `room`; the questions for one member
     // stay together and may exceed it. A round covers each of `members`,
@@ -103,13 +103,13 @@
 private:
     template <class Ends>
     std::vector<searched_flow> take_if(const Ends& ends);
-    void meet(const std::vector<candidate>& members);
-    std::vector<flow_key> unheard_of(const candidate& member) const;
+    void update_members(const std::vector<candidate>& members);
+    std::vector<flow_key> flows_pending_at(const candidate& member) const;
 
     search_times m_times;
     std::unordered_map<std::uint64_t, searched_flow> m_flows;
     // The members that searches take into account; sorted.
-    std::vector<upstream_tag> m_met;
+    std::vector<upstream_tag> m_members;
     // The members still to be asked in the present round, the next one last.
     std::vector<candidate> m_to_ask;
     time_point m_next_round{};
--- a/packages/agent/include/crowlink/agent/load_board.hpp
+++ b/packages/agent/include/crowlink/agent/peer_loads.hpp
@@ -13,7 +13,7 @@
 
 // The latest loads that peers have sent. A service with more members than slots
 // is represented by a sample of them.
-class load_board
+class peer_loads
 {
 public:
     static constexpr std::size_t slots = 64;
--- a/packages/agent/include/crowlink/agent/progress_judge.hpp
+++ b/packages/agent/include/crowlink/agent/progress_monitor.hpp
@@ -16,10 +16,10 @@
 // each stalled period and doubles with each assessment that finds progress, so
 // that a stalled upstream that answers a trial recovers within a few
 // assessments.
-class progress_judge
+class progress_monitor
 {
 public:
-    progress_judge(duration stall_after, time_point started);
+    progress_monitor(duration stall_after, time_point started);
 
     // Skips the warm-up: the upstream had been running before its agent.
     void assume_warm() { m_warm = true; }
@@ -45,12 +45,12 @@
 
     duration m_stall_after;
     time_point m_started;
-    time_point m_judged;
+    time_point m_assessed;
     time_point m_last_progress;
     // Packets since the last answer.
     std::uint64_t m_asked = 0;
     std::uint64_t m_answers = 0;
-    std::uint64_t m_answers_judged = 0;
+    std::uint64_t m_answers_assessed = 0;
     duration m_cold_start{};
     time_point m_now;
     bool m_waiting = false;
--- a/packages/agent/include/crowlink/agent/redirect_table.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_table.hpp
@@ -40,7 +40,7 @@
     redirect_kind kind = redirect_kind::published;
     time_point expires{};
 
-    bool is_mark() const { return kind != redirect_kind::published; }
+    bool is_hint() const { return kind != redirect_kind::published; }
 };
 
 // The redirects of other agents and the hints to flows that are being placed.
--- a/packages/agent/include/crowlink/agent/shed_warden.hpp
+++ b/packages/agent/include/crowlink/agent/shed_coordinator.hpp
@@ -11,13 +11,13 @@
 
 // Grants permission to shed to at most a third of a service's upstreams. A new
 // coordinator waits until the grants of its predecessor have expired.
-class shed_warden
+class shed_coordinator
 {
 public:
-    explicit shed_warden(duration lifetime) : m_lifetime(lifetime) {}
+    explicit shed_coordinator(duration lifetime) : m_lifetime(lifetime) {}
 
     // Sets whether this agent is the coordinator.
-    void appoint(time_point now, bool is_warden);
+    void set_coordinator(time_point now, bool is_coordinator);
 
     // Whether the requester may shed for the lifetime of a grant; `upstreams`
     // is the number of upstreams that take flows.
@@ -31,7 +31,7 @@
     };
 
     duration m_lifetime;
-    bool m_is_warden = false;
+    bool m_is_coordinator = false;
     time_point m_grants_from{};
     std::vector<holder> m_holders;
 };
--- a/packages/agent/include/crowlink/agent/silent_inquiry.hpp
+++ b/packages/agent/include/crowlink/agent/silent_member_query.hpp
@@ -13,10 +13,10 @@
 // that still serves it but is not heard by control would be admitted elsewhere.
 // A member that does not answer delays only the first flows: later ones do not
 // wait for it, for a period that doubles each time.
-class silent_inquiry
+class silent_member_query
 {
 public:
-    silent_inquiry();
+    silent_member_query();
 
     // Holds a datagram until the silent members have answered. Returns false if
     // none of them is likely to, or there is no room.
@@ -28,7 +28,7 @@
                                         const std::vector<candidate>& silent);
 
     // Records that a member answers, so that later datagrams wait for it.
-    void heard(upstream_tag from) { m_mute.erase(from); }
+    void note_answer(upstream_tag from) { m_unresponsive.erase(from); }
     // Records that a member does not have the flow.
     void denied(std::uint64_t flow, upstream_tag by);
     // Ends the wait for a flow whose owner has answered.
@@ -41,18 +41,18 @@
     bool empty() const { return m_search.empty(); }
 
 private:
-    struct mute_member
+    struct unresponsive_member
     {
         time_point until{};
-        duration next_time{};
+        duration backoff{};
     };
 
     std::vector<candidate> likely(time_point now,
                                   const std::vector<candidate>& silent) const;
-    void note_mute(time_point now, upstream_tag member);
+    void note_unresponsive(time_point now, upstream_tag member);
 
     owner_search m_search;
-    std::map<upstream_tag, mute_member> m_mute;
+    std::map<upstream_tag, unresponsive_member> m_unresponsive;
 };
 
 } // namespace crowlink::internal
--- a/packages/agent/include/crowlink/agent/upstream_life.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_life.hpp
@@ -58,9 +58,12 @@
 class upstream_life
 {
 public:
-    // Silence for `patience` counts as the upstream's end, until it is heard
-    // again.
-    explicit upstream_life(duration patience) : m_patience(patience) {}
+    // Silence for `silence_timeout` counts as the upstream's end, until it is
+    // heard again.
+    explicit upstream_life(duration silence_timeout)
+        : m_silence_timeout(silence_timeout)
+    {
+    }
 
     // Records an announcement. Fails with `conflict` for an incarnation that
     // has ended, and with `invalid` if the start is missing that the
@@ -89,7 +92,7 @@
 
 private:
     // An incarnation that has ended.
-    struct ended_life
+    struct ended_incarnation
     {
         upstream_id id;
         std::optional<incarnation> started;
@@ -99,16 +102,16 @@
                                  const upstream_announcement& announced);
     bool has_ended(const upstream_announcement& announced) const;
     result<void> check_start(const upstream_announcement& announced) const;
-    bool is_new_life(const upstream_announcement& announced) const;
+    bool is_new_incarnation(const upstream_announcement& announced) const;
     void begin(const upstream_announcement& announced);
-    void end_present();
+    void end_current();
 
-    duration m_patience;
+    duration m_silence_timeout;
     std::optional<life_status> m_status;
     std::uint64_t m_sequence = 0;
-    time_point m_heard{};
+    time_point m_last_heard{};
     // Oldest first, bounded.
-    std::deque<ended_life> m_ended;
+    std::deque<ended_incarnation> m_ended;
 };
 
 } // namespace crowlink
--- a/packages/agent/src/admission.cpp
+++ b/packages/agent/src/admission.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t default_weight = 100;
 // Without permission to shed, the share is reduced to no less than a half.
-constexpr std::uint32_t least_share_unpermitted = full_share / 2;
+constexpr std::uint32_t least_share_without_grant = full_share / 2;
 constexpr duration trial_interval = std::chrono::seconds(1);
 // When the goal is continuity, a head whose load exceeds the mean by up to this
 // much keeps the flow.
@@ -43,14 +43,14 @@
     m_work -= std::min<std::uint64_t>(m_work, weight);
     if (completed)
     {
-        m_judge.progressed(now);
+        m_progress.progressed(now);
     }
 }
 
 void admission::assess(time_point now)
 {
     m_now = now;
-    m_judge.assess(now, m_work > 0, m_sharing.cold_start);
+    m_progress.assess(now, m_work > 0, m_sharing.cold_start);
 }
 
 std::uint32_t admission::load(std::size_t flows) const
@@ -68,17 +68,17 @@
 
 std::uint32_t admission::share(time_point now) const
 {
-    const std::uint32_t judged = std::max(m_judge.share(), 1U);
-    if (now < m_shed_until || !m_judge.wants_to_shed())
+    const std::uint32_t judged = std::max(m_progress.share(), 1U);
+    if (now < m_shed_until || !m_progress.wants_to_shed())
     {
         return judged;
     }
-    return std::max(judged, least_share_unpermitted);
+    return std::max(judged, least_share_without_grant);
 }
 
 bool admission::is_shedding(time_point now) const
 {
-    return m_judge.wants_to_shed() && now < m_shed_until;
+    return m_progress.wants_to_shed() && now < m_shed_until;
 }
 
 bool admission::is_full_of_work() const
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -11,7 +11,7 @@
 {
 
 // The number of peers that get the load at each assessment.
-constexpr std::size_t peers_at_once = 2;
+constexpr std::size_t peers_per_assessment = 2;
 
 std::size_t ready_members(const service_view& view)
 {
@@ -32,7 +32,7 @@
     , m_members(settings.settle, now)
     , m_admission(settings.stall_after, now, settings.work_per_slot,
                   settings.slots)
-    , m_warden(settings.shed_lifetime)
+    , m_shed_coordinator(settings.shed_lifetime)
     , m_redirects_left(settings.redirects_per_tick)
     , m_questions_left(settings.questions_per_tick)
     , m_copies_left(settings.questions_per_tick)
@@ -53,9 +53,9 @@
         end_flow(flow, "returned");
     }
     packet_header header = event.header;
-    if (names_former_life(header))
+    if (is_for_former_incarnation(header))
     {
-        (void)internal::replace_former_life(header, m_self);
+        (void)internal::replace_former_incarnation(header, m_self);
     }
     const packet_arrived again{header, event.payload};
     if (header.role == packet_role::opens)
@@ -67,7 +67,7 @@
         // After a restart of several agents each may have adopted the flow: the
         // others are tried.
         m_returned.add(now, flow);
-        look_elsewhere(now, header, again);
+        search_elsewhere(now, header, again);
     }
     send_batch();
 }
@@ -75,8 +75,8 @@
 // A packet on a walk was already forwarded past the other agents before the
 // flow was adopted here. Starting a walk from each agent that may have the flow
 // would take packets of lost flows beyond the hop limit.
-void agent::look_elsewhere(time_point now, const packet_header& header,
-                           const packet_arrived& event)
+void agent::search_elsewhere(time_point now, const packet_header& header,
+                             const packet_arrived& event)
 {
     switch (header.pass)
     {
@@ -99,7 +99,7 @@
     }
     if (event.failed)
     {
-        end_and_tell(event.flow, refusal_reason::upstream_failed, false);
+        reset_flow(event.flow, refusal_reason::upstream_failed, false);
     }
     else
     {
@@ -114,7 +114,7 @@
     while (const internal::flow_entry* entry = m_flows.least_recent())
     {
         const flow_key flow = entry->key;
-        end_and_tell(flow, refusal_reason::upstream_failed, false);
+        reset_flow(flow, refusal_reason::upstream_failed, false);
     }
     send_batch();
     // The agent stays in this state until it restarts.
@@ -128,17 +128,17 @@
     m_adopt_until = now + m_settings.settle;
     m_adopt_old_until = now + m_settings.adoption;
     // A walk visits every agent that a recent table lists.
-    m_may_have_until = event.is_young ? now : m_adopt_old_until;
-    m_admission.judge().assume_warm();
+    m_may_hold_until = event.is_young ? now : m_adopt_old_until;
+    m_admission.progress().assume_warm();
 }
 
 void agent::on(time_point now, const upstream_told& event)
 {
-    m_is_life_uncertain = event.is_life_uncertain;
+    m_is_incarnation_uncertain = event.is_incarnation_uncertain;
     m_admission.cold().set_cold_until(event.cold_until);
     if (event.is_second_before_unknown)
     {
-        m_admission.cold().forget(now);
+        m_admission.cold().mark_history_unknown(now);
     }
 }
 
@@ -162,13 +162,13 @@
                 if constexpr (std::is_same_v<std::decay_t<decltype(message)>,
                                              owner_question>)
                 {
-                    answer_for_former_life(message);
+                    answer_for_former_incarnation(message);
                     return;
                 }
                 ++m_counts.wrong_tag;
                 return;
             }
-            take_in(now, event.from, message);
+            receive(now, event.from, message);
         },
         event.message);
     send_batch();
@@ -198,7 +198,7 @@
         m_checking = true;
         m_flows.rewind();
     }
-    begin_inquiries_anew(now);
+    restart_silent_queries(now);
 }
 
 void agent::on(time_point, const leave_requested&)
@@ -229,15 +229,15 @@
     m_questions_left = m_settings.questions_per_tick;
     m_copies_left = m_settings.questions_per_tick;
     m_redirects.expire(now);
-    m_repeated.expire(now);
+    m_retransmissions.expire(now);
     m_returned.expire(now);
     m_counts.redirects_evicted = m_redirects.evicted();
     continue_check(now);
     repeat_due(now);
     renew_due(now);
-    find_silent(now);
+    reset_silent_flows(now);
     ask_members(now);
-    continue_inquiry(now);
+    continue_silent_query(now);
     close_finished(now);
     close_idle(now);
     if (now >= m_next_assessment)
@@ -264,26 +264,27 @@
     m_next_assessment = now + m_settings.assess;
     m_admission.assess(now);
     candidate_chain chain;
-    const candidate* warden_now = warden(chain);
-    m_warden.appoint(now, warden_now != nullptr && *warden_now == m_self);
-    if (m_admission.judge().wants_to_shed())
+    const candidate* coordinator_now = coordinator(chain);
+    m_shed_coordinator.set_coordinator(now, coordinator_now != nullptr &&
+                                                *coordinator_now == m_self);
+    if (m_admission.progress().wants_to_shed())
     {
-        ask_to_shed(now);
+        request_shedding(now);
     }
-    tell_load();
+    send_loads();
 }
 
-const candidate* agent::warden(candidate_chain& chain) const
+const candidate* agent::coordinator(candidate_chain& chain) const
 {
     // The candidates of the empty key, which no real flow has.
     chain = m_members.chain(flow_key());
     return chain.empty() ? nullptr : chain.begin();
 }
 
-void agent::ask_to_shed(time_point now)
+void agent::request_shedding(time_point now)
 {
     candidate_chain chain;
-    const candidate* asked = warden(chain);
+    const candidate* asked = coordinator(chain);
     if (asked == nullptr)
     {
         return;
@@ -293,13 +294,13 @@
         send(asked->agent, shed_request{m_record.service, asked->tag, m_self});
         return;
     }
-    if (m_warden.grant(now, m_tag, ready_members(*m_members.view())))
+    if (m_shed_coordinator.grant(now, m_tag, ready_members(*m_members.view())))
     {
         m_admission.permit_shedding(now + m_settings.shed_lifetime);
     }
 }
 
-void agent::tell_load()
+void agent::send_loads()
 {
     if (m_members.view() == nullptr || m_admission.is_draining())
     {
@@ -308,7 +309,8 @@
     const auto& members = m_members.view()->members;
     const std::uint32_t own = load();
     std::size_t told = 0;
-    for (std::size_t i = 0; i < members.size() && told < peers_at_once; ++i)
+    for (std::size_t i = 0; i < members.size() && told < peers_per_assessment;
+         ++i)
     {
         m_next_peer = (m_next_peer + 1) % members.size();
         const upstream_record& peer = members[m_next_peer];
@@ -324,12 +326,12 @@
     }
 }
 
-void agent::take_in(time_point now, const endpoint&, const load_notice& message)
+void agent::receive(time_point now, const endpoint&, const load_notice& message)
 {
     m_admission.peers().note(now, message.sender, message.load);
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const shed_request& message)
 {
     if (m_members.view() == nullptr)
@@ -337,7 +339,7 @@
         return;
     }
     const std::size_t upstreams = ready_members(*m_members.view());
-    if (m_warden.grant(now, message.sender.tag, upstreams))
+    if (m_shed_coordinator.grant(now, message.sender.tag, upstreams))
     {
         send(message.sender.agent,
              shed_grant{m_record.service, message.sender.tag,
@@ -345,7 +347,7 @@
     }
 }
 
-void agent::take_in(time_point now, const endpoint&, const shed_grant& message)
+void agent::receive(time_point now, const endpoint&, const shed_grant& message)
 {
     m_admission.permit_shedding(now + message.lifetime);
 }
--- a/packages/agent/src/agent_admission.cpp
+++ b/packages/agent/src/agent_admission.cpp
@@ -7,9 +7,9 @@
 using internal::redirect_kind;
 
 void agent::start_admission(time_point now, packet_header header,
-                            const packet_arrived& event, inquiry asked)
+                            const packet_arrived& event, silent_query asked)
 {
-    if (asked == inquiry::due && ask_silent(now, header, event))
+    if (asked == silent_query::due && query_silent_members(now, header, event))
     {
         return;
     }
@@ -25,28 +25,28 @@
     const candidate head = header.current[first];
     if (head == m_self)
     {
-        ask_to_admit(now, header, event);
+        evaluate_admission(now, header, event);
         return;
     }
-    leave_mark(now, header, head, redirect_kind::ended);
+    record_hint(now, header, head, redirect_kind::ended);
     ++m_counts.looked_up;
     forward(header, event, flow_action::looked_up, "no_owner");
 }
 
-void agent::ask_to_admit(time_point now, packet_header header,
-                         const packet_arrived& event)
+void agent::evaluate_admission(time_point now, packet_header header,
+                               const packet_arrived& event)
 {
     const std::size_t flows = m_flows.open_count();
     if (m_admission.can_admit(now, flows))
     {
         const bool is_first = header.best == packet_header::no_position;
-        const bool any_will_do =
+        const bool is_first_fit =
             m_admission.sharing().goal == service_goal::continuity;
         const bool at_once = m_admission.admits_at_once(now, flows);
         if (m_admission.wants_trial(now) ||
-            (at_once && (is_first || any_will_do)))
+            (at_once && (is_first || is_first_fit)))
         {
-            take(now, header, event, flow_action::admitted, "low_load");
+            accept_flow(now, header, event, flow_action::admitted, "low_load");
             return;
         }
         const std::uint32_t own = m_admission.load(flows);
@@ -56,11 +56,11 @@
             header.best_load = own;
         }
     }
-    ask_next(now, header, event);
+    ask_next_candidate(now, header, event);
 }
 
-void agent::ask_next(time_point now, packet_header header,
-                     const packet_arrived& event)
+void agent::ask_next_candidate(time_point now, packet_header header,
+                               const packet_arrived& event)
 {
     const std::size_t next = next_usable(header, header.position + 1U);
     if (next >= header.current.size())
@@ -69,7 +69,7 @@
         return;
     }
     header.position = static_cast<std::uint8_t>(next);
-    leave_mark(now, header, header.current[next], redirect_kind::asked);
+    record_hint(now, header, header.current[next], redirect_kind::asked);
     ++m_counts.handed_off;
     forward(header, event, flow_action::handed_off, "compare_load");
 }
@@ -85,12 +85,12 @@
     const candidate chosen = *internal::candidate_at(header, header.best);
     if (chosen == m_self)
     {
-        take(now, header, event, flow_action::admitted, "least_load");
+        accept_flow(now, header, event, flow_action::admitted, "least_load");
         return;
     }
     header.position = header.best;
     header.pass = packet_pass::place;
-    leave_mark(now, header, chosen, redirect_kind::chosen);
+    record_hint(now, header, chosen, redirect_kind::chosen);
     ++m_counts.handed_off;
     forward(header, event, flow_action::handed_off, "least_load");
 }
@@ -100,7 +100,8 @@
 {
     if (may_adopt(now, header, false))
     {
-        take(now, header, event, flow_action::adopted, "upstream_lived_on");
+        accept_flow(now, header, event, flow_action::adopted,
+                    "upstream_lived_on");
         return;
     }
     if (header.role == packet_role::continues)
@@ -113,7 +114,7 @@
         refuse(now, header, event);
         return;
     }
-    take(now, header, event, flow_action::admitted, "least_load");
+    accept_flow(now, header, event, flow_action::admitted, "least_load");
 }
 
 // Tries the other candidates once each, in order after the one that returned
@@ -135,7 +136,8 @@
         header.best = static_cast<std::uint8_t>(own);
     }
     std::size_t next = (own + 1) % count;
-    while (next != header.best && m_members.is_gone(header.current[next].tag))
+    while (next != header.best &&
+           m_members.is_unavailable(header.current[next].tag))
     {
         next = (next + 1) % count;
     }
@@ -158,7 +160,7 @@
                                       : refusal_reason::full;
     // Work ends within milliseconds, so that a retransmission may be admitted;
     // a refusal would only make the caller return with a new flow.
-    if (event.comes_again && m_admission.has_room_soon(now))
+    if (event.will_retransmit && m_admission.has_room_soon(now))
     {
         ++m_counts.deferred;
         m_redirects.erase(header.flow);
@@ -174,9 +176,9 @@
            to_string(reason));
 }
 
-void agent::take(time_point now, const packet_header& header,
-                 const packet_arrived& event, flow_action how,
-                 std::string_view reason)
+void agent::accept_flow(time_point now, const packet_header& header,
+                        const packet_arrived& event, flow_action how,
+                        std::string_view reason)
 {
     m_redirects.erase(header.flow);
     internal::flow_entry& entry = m_flows.open(header.flow, now);
@@ -207,15 +209,17 @@
     const bool has_room = m_flows.open_count() <
                           2 * std::size_t{m_admission.limits().connections};
     // Only a segment or a redirect proves that a flow is an old one.
-    const bool surely_old = role == packet_role::continues || was_redirected;
-    const time_point until = surely_old ? m_adopt_old_until : m_adopt_until;
+    const bool is_certainly_old =
+        role == packet_role::continues || was_redirected;
+    const time_point until =
+        is_certainly_old ? m_adopt_old_until : m_adopt_until;
     if (now >= until || !may_be_old || !has_room)
     {
         return false;
     }
     // A datagram does not show whether it opens a flow unless a redirect says
     // so, and an upstream that leaves must not get new flows.
-    return surely_old || !m_admission.is_draining();
+    return is_certainly_old || !m_admission.is_draining();
 }
 
 } // namespace crowlink
--- a/packages/agent/src/agent_flows.cpp
+++ b/packages/agent/src/agent_flows.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr std::size_t flows_at_once = 4096;
+constexpr std::size_t max_flows_per_tick = 4096;
 // A flow whose packets don't show that they need an answer counts as waiting
 // after this many unanswered packets, over half of the silent time.
-constexpr std::uint16_t repeated = 3;
+constexpr std::uint16_t min_unanswered_packets = 3;
 // Waiting flows are checked this many times within the silent time.
-constexpr int silent_steps = 4;
+constexpr int checks_in_silent_time = 4;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     {
         return;
     }
-    m_admission.judge().asked();
+    m_admission.progress().asked();
     entry.answer_required =
         entry.answer_required || need == answer_need::required;
     entry.waiting_latest = now;
@@ -41,7 +41,7 @@
     if (!entry.watched && silent_after > duration::zero())
     {
         entry.watched = true;
-        m_watched.push(now + silent_after / silent_steps, entry.key);
+        m_watched.push(now + silent_after / checks_in_silent_time, entry.key);
     }
 }
 
@@ -54,7 +54,7 @@
         return nullptr;
     }
     ++m_counts.answered;
-    m_admission.judge().progressed(now);
+    m_admission.progress().progressed(now);
     if (event.flow != m_answered_flow)
     {
         m_answered_other_at = m_answered_at;
@@ -133,15 +133,15 @@
     decide(flow_action::closed, ended, m_members.digest(), candidate(), reason);
 }
 
-void agent::end_and_tell(const flow_key& flow, refusal_reason reason,
-                         bool tell_upstream)
+void agent::reset_flow(const flow_key& flow, refusal_reason reason,
+                       bool notify_upstream)
 {
     internal::flow_entry* entry = m_flows.find(flow);
     choose_balancer(*entry);
     const flow_refusal told{verdict::may_have_run, reason, duration::zero()};
     m_effects.add(internal::reset_caller_effect{entry->return_to, flow,
                                                 payload_view(), told});
-    if (tell_upstream)
+    if (notify_upstream)
     {
         m_effects.add(internal::reset_upstream_effect{flow, reason});
     }
@@ -158,7 +158,7 @@
 
 void agent::close_idle(time_point now)
 {
-    std::size_t left = flows_at_once;
+    std::size_t left = max_flows_per_tick;
     for (internal::flow_entry* entry = m_flows.least_recent();
          entry != nullptr && left > 0 &&
          now - entry->active >= idle_limit(*entry);
@@ -185,10 +185,10 @@
     }
 }
 
-void agent::find_silent(time_point now)
+void agent::reset_silent_flows(time_point now)
 {
     const duration silent_after = m_admission.sharing().silent_after;
-    std::size_t left = flows_at_once;
+    std::size_t left = max_flows_per_tick;
     while (left > 0)
     {
         const auto due = m_watched.pop(now);
@@ -210,11 +210,11 @@
         if (is_silent(now, *entry))
         {
             ++m_counts.silent;
-            end_and_tell(*due, refusal_reason::silent, true);
+            reset_flow(*due, refusal_reason::silent, true);
             continue;
         }
         entry->watched = true;
-        m_watched.push(now + silent_after / silent_steps, *due);
+        m_watched.push(now + silent_after / checks_in_silent_time, *due);
     }
 }
 
@@ -228,7 +228,7 @@
     // A single unanswered datagram may be an acknowledgement from the caller of
     // a quiet stream; a caller that repeats datagrams expects an answer.
     const bool repeats =
-        entry.waiting >= repeated &&
+        entry.waiting >= min_unanswered_packets &&
         entry.waiting_latest - entry.waiting_since >= silent_after / 2;
     const time_point others = others_answered(entry.key);
     const bool others_progress =
--- a/packages/agent/src/agent_lookup.cpp
+++ b/packages/agent/src/agent_lookup.cpp
@@ -15,12 +15,12 @@
 // redirect to an owner which has lost the flow can form a loop: the owner
 // returns the packet to the head, whose walk visits them again. Redirects on
 // the way are then ignored and erased, so that the caller can be reset.
-constexpr std::uint8_t led_astray_after = 12;
+constexpr std::uint8_t max_redirected_hops = 12;
 
 // The hints along a path expire one after another. A packet that starts to
 // follow them needs time to reach the last one, where the flow's owner is
 // known.
-duration margin_of(packet_pass pass)
+duration hint_margin(packet_pass pass)
 {
     switch (pass)
     {
@@ -49,8 +49,8 @@
                "too_many_hops");
         return;
     }
-    if (known != nullptr && !known->is_mark() && !is_search &&
-        header.hops >= led_astray_after)
+    if (known != nullptr && !known->is_hint() && !is_search &&
+        header.hops >= max_redirected_hops)
     {
         m_redirects.erase(header.flow);
         known = nullptr;
@@ -59,32 +59,32 @@
     // packet.
     if (known != nullptr && !is_search)
     {
-        const bool sent = known->is_mark()
-                              ? follow_mark(now, event, *known)
+        const bool sent = known->is_hint()
+                              ? follow_hint(now, event, *known)
                               : follow_redirect(now, event, *known);
         if (sent)
         {
             return;
         }
     }
-    continue_pass(now, event, inquiry::due);
+    continue_pass(now, event, silent_query::due);
 }
 
 void agent::continue_pass(time_point now, const packet_arrived& event,
-                          inquiry asked)
+                          silent_query asked)
 {
     const packet_header& header = event.header;
     switch (header.pass)
     {
     case packet_pass::lookup:
-        asked == inquiry::due ? look_up(now, event)
-                              : go_on_from_head(now, event);
+        asked == silent_query::due ? look_up(now, event)
+                                   : resume_at_head(now, event);
         break;
     case packet_pass::walk:
         walk(now, header, event, m_self, asked);
         break;
     case packet_pass::admit:
-        ask_to_admit(now, header, event);
+        evaluate_admission(now, header, event);
         break;
     case packet_pass::place:
         place(now, header, event);
@@ -110,55 +110,56 @@
     }
     const bool is_given_up =
         m_members.is_given_up(to.tag) && event.need == answer_need::required;
-    if (is_given_up || (m_members.is_silent(to.tag) && gives_up(now, event)))
+    if (is_given_up ||
+        (m_members.is_silent(to.tag) && caller_retransmits(now, event)))
     {
         m_redirects.erase(header.flow);
         reset_silent(header, event.payload);
         return true;
     }
     packet_header sent = header;
-    internal::look_up_at(sent, to);
+    internal::address_lookup_to(sent, to);
     ++m_counts.redirected;
     forward(sent, event, flow_action::redirected, "owner_published");
     return true;
 }
 
-bool agent::follow_mark(time_point now, const packet_arrived& event,
-                        const internal::redirect_entry& mark)
+bool agent::follow_hint(time_point now, const packet_arrived& event,
+                        const internal::redirect_entry& hint)
 {
     const packet_header& header = event.header;
     // A packet on a walk handles the hints of walks itself, and a packet that
     // asks candidates has passed the end of the walk.
-    const bool from_walk = mark.kind == redirect_kind::walked;
+    const bool from_walk = hint.kind == redirect_kind::walked;
     const bool is_behind =
-        mark.kind == redirect_kind::ended && header.pass == packet_pass::admit;
+        hint.kind == redirect_kind::ended && header.pass == packet_pass::admit;
     const bool applies = internal::may_open(header.role) &&
                          header.pass != packet_pass::place && !from_walk &&
-                         !is_behind && mark.to != m_self &&
-                         mark.expires - now > margin_of(header.pass) &&
-                         !m_members.has_ended(mark.to.tag);
+                         !is_behind && hint.to != m_self &&
+                         hint.expires - now > hint_margin(header.pass) &&
+                         !m_members.has_ended(hint.to.tag);
     if (!applies)
     {
         return false;
     }
-    if (m_members.is_silent(mark.to.tag))
+    if (m_members.is_silent(hint.to.tag))
     {
-        return ask_silent(now, header, event);
+        return query_silent_members(now, header, event);
     }
     packet_header sent = header;
     sent.pass = packet_pass::admit;
-    switch (mark.kind)
+    switch (hint.kind)
     {
     case redirect_kind::ended:
-        internal::ask_first(sent, mark.to);
+        internal::set_first_candidate(sent, hint.to);
         break;
     case redirect_kind::asked:
         // A packet that overtakes the one that it follows asks no further
         // candidates: its own chain might lead back along the path.
-        internal::ask_only(sent, mark.to);
+        internal::set_only_candidate(sent, hint.to);
         break;
     default:
-        internal::address_to(sent, mark.to);
+        internal::address_to(sent, hint.to);
         sent.pass = packet_pass::place;
     }
     ++m_counts.diverted;
@@ -174,16 +175,17 @@
         // The sender took this agent for the owner.
         if (may_adopt(now, header, true))
         {
-            take(now, header, event, flow_action::adopted, "upstream_lived_on");
+            accept_flow(now, header, event, flow_action::adopted,
+                        "upstream_lived_on");
             return;
         }
         return_to_head(now, header, event);
         return;
     }
-    const internal::redirect_entry* mark = m_redirects.find(header.flow, now);
-    const bool others_look = mark != nullptr;
+    const internal::redirect_entry* hint = m_redirects.find(header.flow, now);
+    const bool others_search = hint != nullptr;
     const bool settled = !m_members.may_be_owned_elsewhere(now, header.table);
-    if (internal::may_open(header.role) && settled && !others_look)
+    if (internal::may_open(header.role) && settled && !others_search)
     {
         start_admission(now, header, event);
         return;
@@ -195,7 +197,7 @@
                            const packet_arrived& event)
 {
     const candidate* head = internal::candidate_at(header, 0);
-    if (*head == m_self || m_members.is_gone(head->tag))
+    if (*head == m_self || m_members.is_unavailable(head->tag))
     {
         start_walk(now, header, event);
         return;
@@ -214,11 +216,11 @@
     decide(how, header.flow, header.table, to, reason);
 }
 
-void agent::leave_mark(time_point now, const packet_header& header,
-                       const candidate& to, internal::redirect_kind kind)
+void agent::record_hint(time_point now, const packet_header& header,
+                        const candidate& to, internal::redirect_kind kind)
 {
     const internal::redirect_entry* known = m_redirects.find(header.flow, now);
-    const bool is_published = known != nullptr && !known->is_mark();
+    const bool is_published = known != nullptr && !known->is_hint();
     if (is_published || !internal::may_open(header.role))
     {
         return;
@@ -232,7 +234,7 @@
 {
     std::size_t next = from;
     while (next < header.current.size() &&
-           m_members.is_gone(header.current[next].tag))
+           m_members.is_unavailable(header.current[next].tag))
     {
         ++next;
     }
--- a/packages/agent/src/agent_packets.cpp
+++ b/packages/agent/src/agent_packets.cpp
@@ -7,17 +7,17 @@
 
 agent::route agent::route_of(time_point now, const packet_arrived& event)
 {
-    if (names_former_life(event.header))
+    if (is_for_former_incarnation(event.header))
     {
-        return route_of_former_life(now, event);
+        return route_of_former_incarnation(now, event);
     }
-    if (!is_for_this(event))
+    if (!is_addressed_here(event))
     {
-        pass_by(event);
+        forward_misaddressed(event);
         return route::elsewhere;
     }
     internal::flow_entry* entry = m_flows.find(event.header.flow);
-    if (entry != nullptr && is_new_again(*entry, event) &&
+    if (entry != nullptr && reuses_closed_flow(*entry, event) &&
         !m_admission.can_admit(now, m_flows.open_count()))
     {
         end_flow(event.header.flow, "no_room");
@@ -40,22 +40,22 @@
 
 // Whether the packet is for an earlier incarnation of this agent's upstream.
 // Its sender has not learned of the present one yet.
-bool agent::names_former_life(const packet_header& header) const
+bool agent::is_for_former_incarnation(const packet_header& header) const
 {
     // A datagram does not show whether it belongs to an earlier flow.
-    const bool is_told = header.role == packet_role::opens ||
-                         header.role == packet_role::continues;
+    const bool is_role_certain = header.role == packet_role::opens ||
+                                 header.role == packet_role::continues;
     const candidate* const addressed =
         internal::candidate_at(header, header.position);
-    return is_told && addressed != nullptr &&
+    return is_role_certain && addressed != nullptr &&
            header.service == m_record.service &&
            addressed->agent == m_self.agent && addressed->tag != m_tag;
 }
 
 // The present upstream can serve new flows in place of its earlier incarnation,
 // and the owner of an old flow is looked for as for any unknown flow.
-agent::route agent::route_of_former_life(time_point now,
-                                         const packet_arrived& event)
+agent::route agent::route_of_former_incarnation(time_point now,
+                                                const packet_arrived& event)
 {
     packet_header header = event.header;
     ++m_counts.former_life;
@@ -68,15 +68,15 @@
         send_batch();
         return route::elsewhere;
     }
-    (void)internal::replace_former_life(header, m_self);
+    (void)internal::replace_former_incarnation(header, m_self);
     return route_of(now, packet_arrived{header, event.payload, event.need,
-                                        event.finishes, event.comes_again,
+                                        event.finishes, event.will_retransmit,
                                         event.sequence});
 }
 
 // Forwards an opening packet that arrived here by mistake to the next
 // candidate, so that its caller need not wait for its own retransmission.
-void agent::pass_by(const packet_arrived& event)
+void agent::forward_misaddressed(const packet_arrived& event)
 {
     packet_header header = event.header;
     if (header.hops >= internal::hop_limit ||
@@ -92,13 +92,13 @@
 }
 
 // Whether a caller reuses the addresses of a finished flow for a new one.
-bool agent::is_new_again(const internal::flow_entry& entry,
-                         const packet_arrived& event)
+bool agent::reuses_closed_flow(const internal::flow_entry& entry,
+                               const packet_arrived& event)
 {
     return entry.lingering && event.header.role == packet_role::opens;
 }
 
-bool agent::is_for_this(const packet_arrived& event)
+bool agent::is_addressed_here(const packet_arrived& event)
 {
     const packet_header& header = event.header;
     // An open flow stays with its upstream when its address moves to another
@@ -130,7 +130,7 @@
                           const packet_arrived& event)
 {
     ++m_counts.delivered;
-    if (is_new_again(entry, event))
+    if (reuses_closed_flow(entry, event))
     {
         m_admission.admitted(now);
         reopen(entry);
@@ -154,7 +154,7 @@
     }
     if (event.header.hops > 0)
     {
-        tell_head(now, entry, event.header);
+        notify_head(now, entry, event.header);
     }
     note_caller_packet(now, entry, event.need);
     if (event.finishes && !entry.caller_finished)
--- a/packages/agent/src/agent_redirects.cpp
+++ b/packages/agent/src/agent_redirects.cpp
@@ -15,7 +15,7 @@
 // time, since a notice may be lost.
 constexpr int repeat_in_settling = 3;
 // The minimum interval between notices to a head whose packets were looked up.
-constexpr duration head_told_interval = std::chrono::milliseconds(100);
+constexpr duration head_notify_interval = std::chrono::milliseconds(100);
 
 std::uint32_t identity_of(const candidate_chain& agents)
 {
@@ -42,7 +42,7 @@
 
 } // namespace
 
-candidate_chain agent::agents_to_tell(const flow_key& flow) const
+candidate_chain agent::agents_to_notify(const flow_key& flow) const
 {
     candidate_chain told;
     for (const candidate& next : m_members.chain(flow))
@@ -60,10 +60,10 @@
                             bool renew)
 {
     entry.checked = m_check;
-    const candidate_chain agents = agents_to_tell(entry.key);
+    const candidate_chain agents = agents_to_notify(entry.key);
     const std::uint32_t identity = identity_of(agents);
-    const bool is_new = identity != entry.told;
-    entry.told = identity;
+    const bool is_new = identity != entry.notified;
+    entry.notified = identity;
     if (agents.empty())
     {
         return;
@@ -115,8 +115,8 @@
                            const packet_header& header)
 {
     check_redirects(now, entry, false);
-    const candidate_chain told = agents_to_tell(entry.key);
-    const auto tell_too = [&](const candidate_chain& chain)
+    const candidate_chain told = agents_to_notify(entry.key);
+    const auto publish_to_head = [&](const candidate_chain& chain)
     {
         const bool is_other = !chain.empty() && chain[0] != m_self;
         if (is_other && !holds(told, chain[0]))
@@ -125,37 +125,37 @@
         }
     };
     // The heads in other tables that balancers may still use.
-    tell_too(header.current);
+    publish_to_head(header.current);
     if (header.previous.empty() || header.current.empty() ||
         header.previous[0] != header.current[0])
     {
-        tell_too(header.previous);
+        publish_to_head(header.previous);
     }
 }
 
-void agent::tell_head(time_point now, internal::flow_entry& entry,
-                      const packet_header& header)
+void agent::notify_head(time_point now, internal::flow_entry& entry,
+                        const packet_header& header)
 {
     const bool head_knows =
         header.pass == packet_pass::lookup && header.hops == 1;
-    const bool too_soon = now - entry.head_told_at < head_told_interval;
+    const bool too_soon = now - entry.head_notified_at < head_notify_interval;
     if (header.current.empty() || header.current[0] == m_self || head_knows ||
         too_soon || m_redirects_left == 0)
     {
         return;
     }
-    entry.head_told_at = now;
+    entry.head_notified_at = now;
     publish(entry, header.current[0], age_of(entry, now));
     send_batch();
 }
 
 void agent::withdraw(const internal::flow_entry& entry)
 {
-    if (entry.told == 0)
+    if (entry.notified == 0)
     {
         return;
     }
-    for (const candidate& next : agents_to_tell(entry.key))
+    for (const candidate& next : agents_to_notify(entry.key))
     {
         const redirect_notice empty{
             m_record.service, next.tag, m_self, duration::zero(), {}};
@@ -199,7 +199,7 @@
             continue;
         }
         entry->renewing = false;
-        if (entry->told == 0)
+        if (entry->notified == 0)
         {
             continue;
         }
@@ -232,7 +232,7 @@
     }
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const redirect_notice& message)
 {
     if (message.owner == m_self)
@@ -246,15 +246,15 @@
             m_redirects.withdraw(owned.flow, message.owner);
             continue;
         }
-        take_redirect(now, message, owned);
+        receive_redirect(now, message, owned);
     }
 }
 
-void agent::take_redirect(time_point now, const redirect_notice& message,
-                          const owned_flow& owned)
+void agent::receive_redirect(time_point now, const redirect_notice& message,
+                             const owned_flow& owned)
 {
     internal::flow_entry* entry = m_flows.find(owned.flow);
-    if (entry != nullptr && keeps_against(now, *entry, message.owner, owned))
+    if (entry != nullptr && keeps_ownership(now, *entry, message.owner, owned))
     {
         return;
     }
@@ -267,7 +267,7 @@
         end_flow(owned.flow, "yielded");
     }
     const internal::redirect_entry* known = m_redirects.find(owned.flow, now);
-    const bool differs = known != nullptr && !known->is_mark() &&
+    const bool differs = known != nullptr && !known->is_hint() &&
                          known->to != message.owner &&
                          !m_members.has_ended(known->to.tag);
     if (differs)
@@ -287,8 +287,8 @@
                                              now + message.lifetime});
 }
 
-bool agent::keeps_against(time_point now, internal::flow_entry& entry,
-                          const candidate& rival, const owned_flow& owned)
+bool agent::keeps_ownership(time_point now, internal::flow_entry& entry,
+                            const candidate& rival, const owned_flow& owned)
 {
     ++m_counts.duplicate_owners;
     if (owned.age >= owned_flow::decided)
@@ -303,11 +303,11 @@
     }
     // Ages are those at the time of sending: a second comparison might end
     // differently.
-    if (owned.age > age && !entry.outlasts_rivals)
+    if (owned.age > age && !entry.is_ownership_settled)
     {
         return false;
     }
-    entry.outlasts_rivals = true;
+    entry.is_ownership_settled = true;
     publish(entry, rival, owned_flow::decided);
     return true;
 }
--- a/packages/agent/src/agent_search.cpp
+++ b/packages/agent/src/agent_search.cpp
@@ -21,10 +21,10 @@
     // counts as unserved without a retransmission.
     const bool is_given_up =
         m_members.has_given_up_silent() && event.need == answer_need::required;
-    const bool waits_in_vain =
+    const bool is_unserved =
         is_given_up ||
-        (!m_members.silent_members().empty() && gives_up(now, event));
-    if (!m_search.add(now, header, event.payload, waits_in_vain))
+        (!m_members.silent_members().empty() && caller_retransmits(now, event));
+    if (!m_search.add(now, header, event.payload, is_unserved))
     {
         ++m_counts.searches_omitted;
         return;
@@ -62,7 +62,7 @@
     }
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const owner_question& message)
 {
     owner_answer told{m_record.service, message.sender.tag, m_self, {}};
@@ -78,9 +78,9 @@
 // it, because no other agent can. The sender has not learned of its end yet.
 // While the present incarnation is not known for certain, the question may be
 // meant for it.
-void agent::answer_for_former_life(const owner_question& message)
+void agent::answer_for_former_incarnation(const owner_question& message)
 {
-    if (m_is_life_uncertain)
+    if (m_is_incarnation_uncertain)
     {
         ++m_counts.wrong_tag;
         return;
@@ -101,21 +101,21 @@
     {
         return ownership::owned;
     }
-    const bool any_is_possible = now < m_may_have_until;
+    const bool any_is_possible = now < m_may_hold_until;
     const bool is_possible =
         any_is_possible ||
-        (now < m_adopt_old_until && m_members.names(now, flow, m_self));
+        (now < m_adopt_old_until && m_members.lists(now, flow, m_self));
     return is_possible && !m_returned.holds(flow) ? ownership::possible
                                                   : ownership::none;
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const owner_answer& message)
 {
-    m_inquiry.heard(message.sender.tag);
+    m_silent_query.note_answer(message.sender.tag);
     for (const stated_ownership& each : message.flows)
     {
-        take_silent_answer(message.sender, each);
+        receive_silent_answer(message.sender, each);
         const internal::searched_flow* searched = m_search.find(each.flow);
         if (searched == nullptr)
         {
@@ -141,7 +141,7 @@
         }
     }
     end_searches(now);
-    end_inquiries(now);
+    end_silent_queries(now);
 }
 
 // Handles a copy that was sent to this agent alone, as a possible owner.
@@ -150,7 +150,7 @@
 {
     if (may_adopt(now, header, false))
     {
-        take(now, header, event, flow_action::adopted, "searched_for");
+        accept_flow(now, header, event, flow_action::adopted, "searched_for");
         return;
     }
     if (ownership_of(now, header.flow) == ownership::none)
@@ -198,7 +198,7 @@
     // A hop count other than that of a head that knows the owner, so that the
     // owner notifies the head.
     sent.hops = 1;
-    internal::look_up_at(sent, owner);
+    internal::address_lookup_to(sent, owner);
     ++m_counts.redirected;
     forward(sent, packet_arrived{ended.header, ended.payload},
             flow_action::redirected, "owner_answered");
@@ -222,7 +222,7 @@
 void agent::end_search(const internal::searched_flow& searched)
 {
     const std::vector<candidate> silent = m_members.silent_members();
-    if (!silent.empty() && searched.waits_in_vain)
+    if (!silent.empty() && searched.is_unserved)
     {
         reset_silent(searched.header, searched.payload);
         return;
@@ -257,23 +257,23 @@
 
 // Whether a caller retransmits on a flow whose packets were sent to silent
 // upstreams.
-bool agent::gives_up(time_point now, const packet_arrived& event)
+bool agent::caller_retransmits(time_point now, const packet_arrived& event)
 {
     const flow_key& flow = event.header.flow;
     if (event.need == answer_need::required)
     {
-        return m_repeated.sent(now, flow, event.sequence);
+        return m_retransmissions.note_data(now, flow, event.sequence);
     }
     if (event.need == answer_need::none)
     {
-        m_repeated.acknowledged(flow);
+        m_retransmissions.acknowledged(flow);
     }
     return false;
 }
 
 void agent::reset_silent(const packet_header& header, payload_view payload)
 {
-    m_repeated.forget(header.flow);
+    m_retransmissions.forget(header.flow);
     ++m_counts.upstream_silent;
     const flow_refusal told{verdict::may_have_run,
                             refusal_reason::upstream_failed, duration::zero()};
--- a/packages/agent/src/agent_silent.cpp
+++ b/packages/agent/src/agent_silent.cpp
@@ -11,7 +11,7 @@
 // Whether a walk skips a silent candidate of the packet's chains. Agents with
 // other views may not know that it was skipped, so that each agent asks for
 // itself.
-bool agent::passes_silent(const packet_header& header) const
+bool agent::skips_silent(const packet_header& header) const
 {
     const std::size_t count = header.current.size() + header.previous.size();
     for (std::size_t at = 0; m_members.has_silent() && at < count; ++at)
@@ -26,44 +26,44 @@
 
 // Holds a datagram that may belong to a flow of a silent member, and asks the
 // silent members. Returns whether it was held.
-bool agent::ask_silent(time_point now, const packet_header& header,
-                       const packet_arrived& event)
+bool agent::query_silent_members(time_point now, const packet_header& header,
+                                 const packet_arrived& event)
 {
     const bool may_be_theirs =
         header.role == packet_role::any && m_members.has_silent();
-    if (!may_be_theirs ||
-        !m_inquiry.add(now, header, event.payload, m_members.silent_members()))
+    if (!may_be_theirs || !m_silent_query.add(now, header, event.payload,
+                                              m_members.silent_members()))
     {
         return false;
     }
     decide(flow_action::looked_up, header.flow, header.table, candidate(),
            "owner_may_be_silent");
-    continue_inquiry(now);
+    continue_silent_query(now);
     return true;
 }
 
-void agent::continue_inquiry(time_point now)
+void agent::continue_silent_query(time_point now)
 {
-    if (m_inquiry.empty())
+    if (m_silent_query.empty())
     {
         return;
     }
     send_questions(
-        m_inquiry.ask(now, m_questions_left, m_members.silent_members()));
-    end_inquiries(now);
+        m_silent_query.ask(now, m_questions_left, m_members.silent_members()));
+    end_silent_queries(now);
 }
 
 // A member whose agent has restarted does not know which flows its upstream
 // has; it must not get new ones, so that its answer counts as a denial.
-void agent::take_silent_answer(const candidate& sender,
-                               const stated_ownership& told)
+void agent::receive_silent_answer(const candidate& sender,
+                                  const stated_ownership& told)
 {
     if (told.state != ownership::owned)
     {
-        m_inquiry.denied(told.flow, sender.tag);
+        m_silent_query.denied(told.flow, sender.tag);
         return;
     }
-    if (auto kept = m_inquiry.take(told.flow))
+    if (auto kept = m_silent_query.take(told.flow))
     {
         send_to_owner(std::move(*kept), sender);
     }
@@ -71,9 +71,9 @@
 
 // A member that was asked may be heard by control again. It is then no longer
 // silent, and a walk visits it.
-void agent::begin_inquiries_anew(time_point now)
+void agent::restart_silent_queries(time_point now)
 {
-    for (internal::searched_flow& each : m_inquiry.take_all())
+    for (internal::searched_flow& each : m_silent_query.take_all())
     {
         m_ended_searches.push_back(std::move(each));
         const internal::searched_flow& ended = m_ended_searches.back();
@@ -84,22 +84,22 @@
 
 // No answering member owns these flows: they continue from here as they
 // arrived, unless an owner has become known in the meantime.
-void agent::end_inquiries(time_point now)
+void agent::end_silent_queries(time_point now)
 {
-    for (internal::searched_flow& each : m_inquiry.take_unowned(now))
+    for (internal::searched_flow& each : m_silent_query.take_unowned(now))
     {
         m_ended_searches.push_back(std::move(each));
         const internal::searched_flow& ended = m_ended_searches.back();
         const packet_header header = ended.header;
-        go_on(now, packet_arrived{header, ended.payload});
+        resume(now, packet_arrived{header, ended.payload});
     }
 }
 
-void agent::go_on(time_point now, const packet_arrived& event)
+void agent::resume(time_point now, const packet_arrived& event)
 {
     const packet_header& header = event.header;
     const internal::redirect_entry* known = m_redirects.find(header.flow, now);
-    const bool has_owner = known != nullptr && !known->is_mark();
+    const bool has_owner = known != nullptr && !known->is_hint();
     if (m_flows.find(header.flow) != nullptr)
     {
         m_effects.add(internal::deliver_effect{header.flow, event.payload});
@@ -109,18 +109,18 @@
     {
         return;
     }
-    continue_pass(now, event, inquiry::done);
+    continue_pass(now, event, silent_query::done);
 }
 
-void agent::go_on_from_head(time_point now, const packet_arrived& event)
+void agent::resume_at_head(time_point now, const packet_arrived& event)
 {
     const packet_header& header = event.header;
     if (m_members.may_be_owned_elsewhere(now, header.table))
     {
-        start_walk(now, header, event, inquiry::done);
+        start_walk(now, header, event, silent_query::done);
         return;
     }
-    start_admission(now, header, event, inquiry::done);
+    start_admission(now, header, event, silent_query::done);
 }
 
 } // namespace crowlink
--- a/packages/agent/src/agent_walk.cpp
+++ b/packages/agent/src/agent_walk.cpp
@@ -9,12 +9,12 @@
 using internal::redirect_kind;
 
 void agent::start_walk(time_point now, packet_header header,
-                       const packet_arrived& event, inquiry asked)
+                       const packet_arrived& event, silent_query asked)
 {
-    internal::drop_repeated(header);
-    m_members.widen(header, now);
-    if (asked == inquiry::due && passes_silent(header) &&
-        ask_silent(now, header, event))
+    internal::remove_duplicates(header);
+    m_members.add_known_candidates(header, now);
+    if (asked == silent_query::due && skips_silent(header) &&
+        query_silent_members(now, header, event))
     {
         return;
     }
@@ -39,7 +39,7 @@
 // in the order, so that none is visited twice.
 void agent::walk(time_point now, packet_header header,
                  const packet_arrived& event, const candidate& as,
-                 inquiry asked)
+                 silent_query asked)
 {
     internal::address_to(header, as);
     const bool is_likely_owner =
@@ -51,17 +51,17 @@
         header.best = header.position;
     }
     const candidate_chain known_before = header.previous;
-    m_members.widen(header, now);
-    if (asked == inquiry::due && passes_silent(header) &&
-        ask_silent(now, header, event))
+    m_members.add_known_candidates(header, now);
+    if (asked == silent_query::due && skips_silent(header) &&
+        query_silent_members(now, header, event))
     {
         return;
     }
-    const internal::redirect_entry* mark = m_redirects.find(header.flow, now);
-    if (mark != nullptr && mark->kind == redirect_kind::walked &&
+    const internal::redirect_entry* hint = m_redirects.find(header.flow, now);
+    if (hint != nullptr && hint->kind == redirect_kind::walked &&
         internal::may_open(header.role))
     {
-        internal::add_on_walk(header, mark->to);
+        internal::add_on_walk(header, hint->to);
     }
     const candidate* missed = missed_on_walk(header, known_before, as);
     const std::uint64_t here =
@@ -76,7 +76,7 @@
     const candidate to = *next;
     if (missed == nullptr)
     {
-        leave_mark(now, header, to, redirect_kind::walked);
+        record_hint(now, header, to, redirect_kind::walked);
     }
     internal::address_to(header, to);
     ++m_counts.looked_up;
@@ -97,7 +97,8 @@
         const bool is_new =
             std::find(before.begin(), before.end(), next) == before.end();
         const std::uint64_t order = internal::walk_order(hash, next);
-        if (is_new && order < first_order && !m_members.is_gone(next.tag))
+        if (is_new && order < first_order &&
+            !m_members.is_unavailable(next.tag))
         {
             first = &next;
             first_order = order;
@@ -118,7 +119,7 @@
         const candidate* next = internal::candidate_at(header, i);
         const std::uint64_t order = internal::walk_order(hash, *next);
         const bool is_nearer = best == nullptr || order < best_order;
-        if (order > after && is_nearer && !m_members.is_gone(next->tag))
+        if (order > after && is_nearer && !m_members.is_unavailable(next->tag))
         {
             best = next;
             best_order = order;
@@ -128,7 +129,7 @@
 }
 
 void agent::end_walk(time_point now, packet_header header,
-                     const packet_arrived& event, inquiry asked)
+                     const packet_arrived& event, silent_query asked)
 {
     if (header.best != packet_header::no_position)
     {
@@ -140,7 +141,7 @@
             place(now, header, event);
             return;
         }
-        leave_mark(now, header, adopter, redirect_kind::chosen);
+        record_hint(now, header, adopter, redirect_kind::chosen);
         forward(header, event, flow_action::looked_up, "may_adopt");
         return;
     }
--- a/packages/agent/src/chain_walk.cpp
+++ b/packages/agent/src/chain_walk.cpp
@@ -36,17 +36,17 @@
     return position;
 }
 
-void drop_repeated(packet_header& header)
+void remove_duplicates(packet_header& header)
 {
     const candidate_chain listed = header.previous;
     header.previous = candidate_chain();
     for (const candidate& next : listed)
     {
-        add_unseen(header, next);
+        add_if_absent(header, next);
     }
 }
 
-void add_unseen(packet_header& header, const candidate& next)
+void add_if_absent(packet_header& header, const candidate& next)
 {
     const std::size_t count = header.current.size() + header.previous.size();
     if (position_of(header, next) == count)
@@ -57,7 +57,7 @@
 
 void add_on_walk(packet_header& header, const candidate& next)
 {
-    add_unseen(header, next);
+    add_if_absent(header, next);
     const std::size_t count = header.current.size() + header.previous.size();
     if (position_of(header, next) < count)
     {
@@ -105,7 +105,7 @@
     header.best = packet_header::no_position;
 }
 
-void look_up_at(packet_header& header, const candidate& to)
+void address_lookup_to(packet_header& header, const candidate& to)
 {
     header.pass = packet_pass::lookup;
     header.best = packet_header::no_position;
@@ -114,10 +114,10 @@
     header.position = static_cast<std::uint8_t>(header.current.size());
 }
 
-void ask_first(packet_header& header, const candidate& first)
+void set_first_candidate(packet_header& header, const candidate& first)
 {
     const candidate_chain rest = header.current;
-    ask_only(header, first);
+    set_only_candidate(header, first);
     for (const candidate& next : rest)
     {
         if (next != first)
@@ -127,7 +127,7 @@
     }
 }
 
-void ask_only(packet_header& header, const candidate& only)
+void set_only_candidate(packet_header& header, const candidate& only)
 {
     header.current = candidate_chain();
     header.current.push_back(only);
@@ -135,7 +135,7 @@
     header.best = packet_header::no_position;
 }
 
-bool replace_former_life(packet_header& header, const candidate& present)
+bool replace_former_incarnation(packet_header& header, const candidate& present)
 {
     const candidate* found = candidate_at(header, header.position);
     if (found == nullptr || found->agent != present.agent)
--- a/packages/agent/src/cold_gate.cpp
+++ b/packages/agent/src/cold_start_limiter.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/cold_gate.hpp"
+#include "crowlink/agent/cold_start_limiter.hpp"
 
 #include "crowlink/agent/load_units.hpp"
 
@@ -7,16 +7,16 @@
 namespace crowlink::internal
 {
 
-bool cold_gate::allows(time_point now) const
+bool cold_start_limiter::allows(time_point now) const
 {
-    if (!is_bounding(now))
+    if (!is_limiting(now))
     {
         return true;
     }
-    return now >= m_blind_until && recent(now) < m_limit;
+    return now >= m_history_unknown_until && recent(now) < m_limit;
 }
 
-void cold_gate::admitted(time_point now)
+void cold_start_limiter::admitted(time_point now)
 {
     if (m_limit == 0)
     {
@@ -29,13 +29,13 @@
     }
 }
 
-std::uint32_t cold_gate::used(time_point now) const
+std::uint32_t cold_start_limiter::used(time_point now) const
 {
-    if (!is_bounding(now))
+    if (!is_limiting(now))
     {
         return 0;
     }
-    if (now < m_blind_until)
+    if (now < m_history_unknown_until)
     {
         return full_share;
     }
@@ -43,7 +43,7 @@
                                       m_limit);
 }
 
-std::size_t cold_gate::recent(time_point now) const
+std::size_t cold_start_limiter::recent(time_point now) const
 {
     const auto first =
         std::upper_bound(m_admitted.begin(), m_admitted.end(), now - window);
--- a/packages/agent/src/member_tables.cpp
+++ b/packages/agent/src/member_tables.cpp
@@ -12,8 +12,8 @@
 
 // The limits of stored tables of the settling time, and of stored tags of
 // members that have left.
-constexpr std::size_t tables_kept = 8;
-constexpr std::size_t gone_kept = 128;
+constexpr std::size_t max_replaced_tables = 8;
+constexpr std::size_t max_ended = 128;
 
 upstream_tag tag_of(const upstream_record& member)
 {
@@ -72,7 +72,7 @@
         const upstream_record* after = find_member(next, before.id);
         if (after == nullptr || after->started != before.started)
         {
-            note_gone(tag_of(before));
+            note_ended(tag_of(before));
         }
     }
     for (const upstream_record& after : next.members)
@@ -82,8 +82,8 @@
         {
             const upstream_tag tag = tag_of(after);
             found.renewed.push_back(tag);
-            m_gone.erase(std::remove(m_gone.begin(), m_gone.end(), tag),
-                         m_gone.end());
+            m_ended.erase(std::remove(m_ended.begin(), m_ended.end(), tag),
+                          m_ended.end());
         }
     }
 }
@@ -105,13 +105,13 @@
     }
 }
 
-void member_tables::note_gone(upstream_tag tag)
+void member_tables::note_ended(upstream_tag tag)
 {
-    if (m_gone.size() == gone_kept)
+    if (m_ended.size() == max_ended)
     {
-        m_gone.erase(m_gone.begin());
+        m_ended.erase(m_ended.begin());
     }
-    m_gone.push_back(tag);
+    m_ended.push_back(tag);
 }
 
 void member_tables::replace_table(time_point now,
@@ -121,7 +121,7 @@
     {
         m_replaced.push_back(replaced_table{m_table, now + m_settle});
     }
-    if (m_replaced.size() > tables_kept)
+    if (m_replaced.size() > max_replaced_tables)
     {
         m_replaced.pop_front();
     }
@@ -140,7 +140,8 @@
     return now < m_unsettled_until || table != digest();
 }
 
-void member_tables::widen(packet_header& header, time_point now) const
+void member_tables::add_known_candidates(packet_header& header,
+                                         time_point now) const
 {
     const std::uint64_t hash = stable_hash(header.flow);
     const bool has_started = header.pass == packet_pass::walk;
@@ -154,7 +155,7 @@
             // Only candidates that are still ahead may replace one that was
             // visited, otherwise the walk might never end.
             const bool is_ahead = walk_order(hash, next) > here;
-            is_ahead ? add_on_walk(header, next) : add_unseen(header, next);
+            is_ahead ? add_on_walk(header, next) : add_if_absent(header, next);
         }
     };
     if (m_table)
@@ -170,7 +171,7 @@
     }
 }
 
-bool member_tables::names(time_point now, const flow_key& flow,
+bool member_tables::lists(time_point now, const flow_key& flow,
                           const candidate& member) const
 {
     const std::uint64_t hash = stable_hash(flow);
@@ -185,7 +186,7 @@
                        { return now < past.until && has_it(*past.table); });
 }
 
-std::vector<candidate> member_tables::others(upstream_tag than) const
+std::vector<candidate> member_tables::others(upstream_tag excluded) const
 {
     std::vector<candidate> found;
     if (!m_view)
@@ -196,7 +197,7 @@
     for (const upstream_record& member : m_view->members)
     {
         const candidate each{member.agent, tag_of(member)};
-        if (each.tag != than && !is_gone(each.tag))
+        if (each.tag != excluded && !is_unavailable(each.tag))
         {
             found.push_back(each);
         }
@@ -230,7 +231,7 @@
 
 bool member_tables::has_ended(upstream_tag tag) const
 {
-    return std::find(m_gone.begin(), m_gone.end(), tag) != m_gone.end();
+    return std::find(m_ended.begin(), m_ended.end(), tag) != m_ended.end();
 }
 
 bool member_tables::is_silent(upstream_tag tag) const
@@ -249,7 +250,7 @@
            m_given_up.end();
 }
 
-bool member_tables::is_gone(upstream_tag tag) const
+bool member_tables::is_unavailable(upstream_tag tag) const
 {
     return has_ended(tag) || is_silent(tag);
 }
--- a/packages/agent/src/owner_search.cpp
+++ b/packages/agent/src/owner_search.cpp
@@ -35,8 +35,8 @@
     return tags;
 }
 
-void keep_only(std::vector<upstream_tag>& tags,
-               const std::vector<upstream_tag>& known)
+void retain(std::vector<upstream_tag>& tags,
+            const std::vector<upstream_tag>& known)
 {
     std::erase_if(tags,
                   [&known](upstream_tag each) { return !holds(known, each); });
@@ -45,7 +45,7 @@
 } // namespace
 
 bool owner_search::add(time_point now, const packet_header& header,
-                       payload_view payload, bool waits_in_vain)
+                       payload_view payload, bool is_unserved)
 {
     const std::uint64_t flow = stable_hash(header.flow);
     const bool is_known = m_flows.count(flow) != 0;
@@ -56,7 +56,7 @@
     searched_flow& kept = m_flows[flow];
     if (!is_known)
     {
-        kept.unheard = m_met;
+        kept.pending = m_members;
     }
     if (!is_known || m_times.is_renewed_by_copies)
     {
@@ -64,7 +64,7 @@
     }
     kept.header = header;
     kept.payload.assign(payload.begin(), payload.end());
-    kept.waits_in_vain = kept.waits_in_vain || waits_in_vain;
+    kept.is_unserved = kept.is_unserved || is_unserved;
     return true;
 }
 
@@ -78,7 +78,7 @@
         m_to_ask.clear();
         return questions;
     }
-    meet(members);
+    update_members(members);
     if (m_to_ask.empty() && now >= m_next_round)
     {
         m_to_ask = members;
@@ -88,7 +88,7 @@
     {
         const candidate to = m_to_ask.back();
         m_to_ask.pop_back();
-        std::vector<flow_key> flows = unheard_of(to);
+        std::vector<flow_key> flows = flows_pending_at(to);
         while (!flows.empty())
         {
             const std::size_t count =
@@ -102,33 +102,34 @@
 }
 
 // A member that has ended can't have the flow, and a newly known one may.
-void owner_search::meet(const std::vector<candidate>& members)
+void owner_search::update_members(const std::vector<candidate>& members)
 {
     std::vector<upstream_tag> present = tags_of(members);
-    if (present == m_met)
+    if (present == m_members)
     {
         return;
     }
     std::vector<upstream_tag> joined;
-    std::set_difference(present.begin(), present.end(), m_met.begin(),
-                        m_met.end(), std::back_inserter(joined));
+    std::set_difference(present.begin(), present.end(), m_members.begin(),
+                        m_members.end(), std::back_inserter(joined));
     for (auto& [hash, flow] : m_flows)
     {
-        keep_only(flow.unheard, present);
+        retain(flow.pending, present);
         std::vector<upstream_tag> all;
-        std::merge(flow.unheard.begin(), flow.unheard.end(), joined.begin(),
+        std::merge(flow.pending.begin(), flow.pending.end(), joined.begin(),
                    joined.end(), std::back_inserter(all));
-        flow.unheard = std::move(all);
+        flow.pending = std::move(all);
     }
-    m_met = std::move(present);
+    m_members = std::move(present);
 }
 
-std::vector<flow_key> owner_search::unheard_of(const candidate& member) const
+std::vector<flow_key>
+owner_search::flows_pending_at(const candidate& member) const
 {
     std::vector<flow_key> flows;
     for (const auto& [hash, flow] : m_flows)
     {
-        if (holds(flow.unheard, member.tag))
+        if (holds(flow.pending, member.tag))
         {
             flows.push_back(flow.header.flow);
         }
@@ -143,8 +144,8 @@
     {
         return false;
     }
-    erase(known->second.unheard, by);
-    return known->second.unheard.empty();
+    erase(known->second.pending, by);
+    return known->second.pending.empty();
 }
 
 const searched_flow* owner_search::find(std::uint64_t flow) const
@@ -168,7 +169,7 @@
 std::vector<searched_flow> owner_search::take_denied()
 {
     return take_if([](const searched_flow& each)
-                   { return each.unheard.empty(); });
+                   { return each.pending.empty(); });
 }
 
 std::vector<searched_flow> owner_search::take_unanswered(time_point now)
--- a/packages/agent/src/load_board.cpp
+++ b/packages/agent/src/peer_loads.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/load_board.hpp"
+#include "crowlink/agent/peer_loads.hpp"
 
 namespace crowlink::internal
 {
@@ -12,12 +12,12 @@
 
 } // namespace
 
-void load_board::note(time_point now, upstream_tag peer, std::uint32_t load)
+void peer_loads::note(time_point now, upstream_tag peer, std::uint32_t load)
 {
     m_samples[peer % slots] = sample{peer, load, now + recent};
 }
 
-std::optional<std::uint32_t> load_board::mean(time_point now) const
+std::optional<std::uint32_t> peer_loads::mean(time_point now) const
 {
     std::uint64_t sum = 0;
     std::uint64_t count = 0;
--- a/packages/agent/src/progress_judge.cpp
+++ b/packages/agent/src/progress_monitor.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/progress_judge.hpp"
+#include "crowlink/agent/progress_monitor.hpp"
 
 #include "crowlink/agent/load_units.hpp"
 
@@ -18,62 +18,62 @@
 constexpr std::uint64_t warm_answers = 32;
 // This many packets without any answer show that answers are missing; fewer may
 // be datagrams that need none.
-constexpr std::uint64_t asked_in_vain = 4;
+constexpr std::uint64_t min_unanswered = 4;
 
 } // namespace
 
-progress_judge::progress_judge(duration stall_after, time_point started)
+progress_monitor::progress_monitor(duration stall_after, time_point started)
     : m_stall_after(stall_after)
     , m_started(started)
-    , m_judged(started)
+    , m_assessed(started)
     , m_last_progress(started)
     , m_now(started)
     , m_health(full_share)
 {
 }
 
-void progress_judge::progressed(time_point now)
+void progress_monitor::progressed(time_point now)
 {
     ++m_answers;
     m_asked = 0;
     m_last_progress = now;
 }
 
-void progress_judge::assess(time_point now, bool working, duration cold_start)
+void progress_monitor::assess(time_point now, bool working, duration cold_start)
 {
     m_now = now;
     m_cold_start = cold_start;
-    const bool waiting = working || m_asked >= asked_in_vain;
+    const bool waiting = working || m_asked >= min_unanswered;
     if (waiting && !m_waiting)
     {
         // Work that has just arrived has not been waiting for long.
         m_last_progress = std::max(m_last_progress, now);
     }
     m_waiting = waiting;
-    const bool progress = m_answers != m_answers_judged;
-    m_answers_judged = m_answers;
+    const bool progress = m_answers != m_answers_assessed;
+    m_answers_assessed = m_answers;
     if (progress)
     {
         m_health = std::min(full_share, m_health * 2);
-        m_judged = now;
+        m_assessed = now;
     }
     else if (waiting && m_answers > 0 &&
-             now - std::max(m_last_progress, m_judged) >= m_stall_after)
+             now - std::max(m_last_progress, m_assessed) >= m_stall_after)
     {
         m_health = std::max(least_health, m_health / 2);
-        m_judged = now;
+        m_assessed = now;
     }
     const std::uint32_t limit = m_shedding ? leave_shedding : enter_shedding;
     m_shedding = m_shedding ? m_health < limit : m_health <= limit;
 }
 
-std::uint32_t progress_judge::share() const
+std::uint32_t progress_monitor::share() const
 {
     const auto product = static_cast<std::uint64_t>(warmth()) * m_health;
     return static_cast<std::uint32_t>(product / full_share);
 }
 
-std::uint32_t progress_judge::warmth() const
+std::uint32_t progress_monitor::warmth() const
 {
     if (m_warm || m_cold_start <= duration::zero())
     {
--- a/packages/agent/src/redirect_table.cpp
+++ b/packages/agent/src/redirect_table.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr std::size_t expired_at_once = 4096;
+constexpr std::size_t max_expired_per_call = 4096;
 
 } // namespace
 
@@ -48,7 +48,7 @@
 {
     auto& index = m_entries.get<by_flow>();
     const auto found = index.find(flow);
-    if (found != index.end() && !found->is_mark() && found->to == owner)
+    if (found != index.end() && !found->is_hint() && found->to == owner)
     {
         index.erase(found);
     }
@@ -57,7 +57,7 @@
 void redirect_table::expire(time_point now)
 {
     auto& order = m_entries.get<by_expiry>();
-    std::size_t left = expired_at_once;
+    std::size_t left = max_expired_per_call;
     while (left > 0 && !order.empty() && order.begin()->expires <= now)
     {
         order.erase(order.begin());
--- a/packages/agent/src/shed_warden.cpp
+++ b/packages/agent/src/shed_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/shed_warden.hpp"
+#include "crowlink/agent/shed_coordinator.hpp"
 
 #include <algorithm>
 
@@ -12,22 +12,22 @@
 
 } // namespace
 
-void shed_warden::appoint(time_point now, bool is_warden)
+void shed_coordinator::set_coordinator(time_point now, bool is_coordinator)
 {
-    if (is_warden && !m_is_warden)
+    if (is_coordinator && !m_is_coordinator)
     {
         m_holders.clear();
         // The previous coordinator may learn of the change later by up to the
         // lifetime of a grant, and its last grant lasts as long again.
         m_grants_from = now + 2 * m_lifetime;
     }
-    m_is_warden = is_warden;
+    m_is_coordinator = is_coordinator;
 }
 
-bool shed_warden::grant(time_point now, upstream_tag asker,
-                        std::size_t upstreams)
+bool shed_coordinator::grant(time_point now, upstream_tag asker,
+                             std::size_t upstreams)
 {
-    if (!m_is_warden || now < m_grants_from)
+    if (!m_is_coordinator || now < m_grants_from)
     {
         return false;
     }
--- a/packages/agent/src/upstream_life.cpp
+++ b/packages/agent/src/upstream_life.cpp
@@ -9,7 +9,7 @@
 {
 
 // More incarnations than an upstream has while a message may be delayed.
-constexpr std::size_t ended_kept = 64;
+constexpr std::size_t max_ended = 64;
 // The first announcement of an incarnation, counted from 0 or from 1.
 constexpr std::uint64_t first_sequence = 1;
 
@@ -22,8 +22,8 @@
     {
         return checked;
     }
-    m_heard = now;
-    if (is_new_life(announced))
+    m_last_heard = now;
+    if (is_new_incarnation(announced))
     {
         begin(announced);
         m_status->cold_until = cold_until(now, announced);
@@ -87,7 +87,8 @@
 // A start that is announced for the first time belongs to the known
 // incarnation: treating it as a new one would end flows that the upstream may
 // hold.
-bool upstream_life::is_new_life(const upstream_announcement& announced) const
+bool upstream_life::is_new_incarnation(
+    const upstream_announcement& announced) const
 {
     if (!m_status || m_status->id != announced.id)
     {
@@ -98,7 +99,7 @@
 
 void upstream_life::begin(const upstream_announcement& announced)
 {
-    end_present();
+    end_current();
     m_sequence = announced.sequence;
     m_status = life_status{announced.id,
                            announced.started,
@@ -120,7 +121,7 @@
     m_status = life_status{id,     std::nullopt, 0, 0,           true,
                            leaves, false,        0, time_point()};
     m_sequence = 0;
-    m_heard = now;
+    m_last_heard = now;
 }
 
 void upstream_life::refused()
@@ -140,14 +141,14 @@
     {
         return;
     }
-    m_heard = now;
+    m_last_heard = now;
     m_status->is_gone = true;
-    end_present();
+    end_current();
 }
 
 void upstream_life::tick(time_point now)
 {
-    if (m_status && now - m_heard >= m_patience)
+    if (m_status && now - m_last_heard >= m_silence_timeout)
     {
         m_status->is_gone = true;
     }
@@ -158,7 +159,7 @@
 bool upstream_life::has_ended(const upstream_announcement& announced) const
 {
     return std::any_of(m_ended.begin(), m_ended.end(),
-                       [&announced](const ended_life& each)
+                       [&announced](const ended_incarnation& each)
                        {
                            return each.id == announced.id &&
                                   (!each.started ||
@@ -166,17 +167,17 @@
                        });
 }
 
-void upstream_life::end_present()
+void upstream_life::end_current()
 {
     if (!m_status)
     {
         return;
     }
-    if (m_ended.size() == ended_kept)
+    if (m_ended.size() == max_ended)
     {
         m_ended.pop_front();
     }
-    m_ended.push_back(ended_life{m_status->id, m_status->started});
+    m_ended.push_back(ended_incarnation{m_status->id, m_status->started});
 }
 
 } // namespace crowlink
--- a/packages/agent/test/cold_gate_test.cpp
+++ b/packages/agent/test/cold_start_limiter_test.cpp
@@ -1,6 +1,6 @@
 #include "agent_fixture.hpp"
 
-#include "crowlink/agent/cold_gate.hpp"
+#include "crowlink/agent/cold_start_limiter.hpp"
 #include "crowlink/base/random.hpp"
 
 #include <gtest/gtest.h>
@@ -12,16 +12,16 @@
 {
 
 using namespace std::chrono_literals;
-using internal::cold_gate;
+using internal::cold_start_limiter;
 
 constexpr std::uint32_t limit = 20;
 
-cold_gate cold_for(time_point now, duration time)
+cold_start_limiter cold_for(time_point now, duration time)
 {
-    cold_gate gate;
-    gate.set_limit(limit);
-    gate.set_cold_until(now + time);
-    return gate;
+    cold_start_limiter limiter;
+    limiter.set_limit(limit);
+    limiter.set_cold_until(now + time);
+    return limiter;
 }
 
 // The most flows that came within any span of a second.
@@ -43,21 +43,21 @@
 
 // All back cold, ten times what one bears: no span of a second has more, and
 // what it bears is used.
-TEST(cold_gate, bounds_each_span_of_a_second_under_any_load)
+TEST(cold_start_limiter, bounds_each_span_of_a_second_under_any_load)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed)
     {
         seeded_random random(seed);
         time_point now{1h};
-        cold_gate gate = cold_for(now, 5s);
+        cold_start_limiter limiter = cold_for(now, 5s);
         const time_point end = now + 5s;
         std::vector<time_point> admitted;
         while (now < end)
         {
             now += std::chrono::microseconds(random() % 10'000);
-            if (now < end && gate.allows(now))
+            if (now < end && limiter.allows(now))
             {
-                gate.admitted(now);
+                limiter.admitted(now);
                 admitted.push_back(now);
             }
         }
@@ -66,37 +66,38 @@
     }
 }
 
-TEST(cold_gate, a_warm_upstream_has_no_bound)
+TEST(cold_start_limiter, a_warm_upstream_has_no_bound)
 {
     time_point now{1h};
-    cold_gate gate = cold_for(now, 2s);
+    cold_start_limiter limiter = cold_for(now, 2s);
     for (std::uint32_t i = 0; i < limit; ++i)
     {
-        EXPECT_TRUE(gate.allows(now));
-        gate.admitted(now);
+        EXPECT_TRUE(limiter.allows(now));
+        limiter.admitted(now);
     }
-    EXPECT_FALSE(gate.allows(now));
-    EXPECT_EQ(gate.used(now), 1'000'000U);
-    EXPECT_TRUE(gate.allows(now + 2s));
-    EXPECT_EQ(gate.used(now + 2s), 0U);
+    EXPECT_FALSE(limiter.allows(now));
+    EXPECT_EQ(limiter.used(now), 1'000'000U);
+    EXPECT_TRUE(limiter.allows(now + 2s));
+    EXPECT_EQ(limiter.used(now + 2s), 0U);
 }
 
-TEST(cold_gate, a_service_that_tells_no_bound_has_none)
+TEST(cold_start_limiter, a_service_that_tells_no_bound_has_none)
 {
     const time_point now{1h};
-    cold_gate gate;
-    gate.set_cold_until(now + 10s);
-    gate.forget(now);
-    EXPECT_TRUE(gate.allows(now));
+    cold_start_limiter limiter;
+    limiter.set_cold_until(now + 10s);
+    limiter.mark_history_unknown(now);
+    EXPECT_TRUE(limiter.allows(now));
 }
 
-TEST(cold_gate, an_agent_that_starts_beside_a_cold_upstream_waits_a_second)
+TEST(cold_start_limiter,
+     an_agent_that_starts_beside_a_cold_upstream_waits_a_second)
 {
     const time_point now{1h};
-    cold_gate gate = cold_for(now, 5s);
-    gate.forget(now);
-    EXPECT_FALSE(gate.allows(now + 1s));
-    EXPECT_TRUE(gate.allows(now + 1100ms));
+    cold_start_limiter limiter = cold_for(now, 5s);
+    limiter.mark_history_unknown(now);
+    EXPECT_FALSE(limiter.allows(now + 1s));
+    EXPECT_TRUE(limiter.allows(now + 1100ms));
 }
 
 // One agent whose upstream has just started cold.
@@ -108,12 +109,12 @@
         handle(upstream_told{now + 5s});
     }
 
-    void open(std::uint16_t number, bool comes_again)
+    void open(std::uint16_t number, bool will_retransmit)
     {
         packet_header sent = header(number);
         sent.role = packet_role::opens;
         handle(packet_arrived{
-            sent, {}, answer_need::required, false, comes_again});
+            sent, {}, answer_need::required, false, will_retransmit});
     }
 };
 
--- a/packages/agent/test/full_of_work_test.cpp
+++ b/packages/agent/test/full_of_work_test.cpp
@@ -104,8 +104,8 @@
             reach(next);
             return;
         }
-        const bool comes_again = next.copy + 1 < std::size(copies);
-        if (comes_again)
+        const bool will_retransmit = next.copy + 1 < std::size(copies);
+        if (will_retransmit)
         {
             ask(next.at - copies[next.copy] + copies[next.copy + 1], next.asked,
                 next.tries, next.copy + 1);
@@ -221,11 +221,11 @@
     opens.role = packet_role::opens;
     opens.current.push_back(agent_fixture::identity(0));
     packet_arrived copy{opens, {}, answer_need::required};
-    copy.comes_again = true;
+    copy.will_retransmit = true;
     core.handle(now, copy, effects);
     EXPECT_TRUE(effects.refusals.empty());
     EXPECT_TRUE(effects.delivered.empty());
-    copy.comes_again = false;
+    copy.will_retransmit = false;
     core.handle(now, copy, effects);
     ASSERT_EQ(effects.refusals.size(), 1U);
     EXPECT_EQ(effects.refusals[0].told.outcome, verdict::not_run);
--- a/packages/agent/test/owner_search_test.cpp
+++ b/packages/agent/test/owner_search_test.cpp
@@ -153,7 +153,7 @@
     }
     EXPECT_FALSE(search.add(start, packet_of(9999), {}, false));
     EXPECT_TRUE(search.add(start, packet_of(1), {}, true));
-    EXPECT_TRUE(search.find(hash_of(1))->waits_in_vain);
+    EXPECT_TRUE(search.find(hash_of(1))->is_unserved);
 }
 
 } // namespace
--- a/packages/agent/test/shedding_test.cpp
+++ b/packages/agent/test/shedding_test.cpp
@@ -1,7 +1,7 @@
 #include "agent_fixture.hpp"
 #include "crowlink/agent/load_units.hpp"
-#include "crowlink/agent/progress_judge.hpp"
-#include "crowlink/agent/shed_warden.hpp"
+#include "crowlink/agent/progress_monitor.hpp"
+#include "crowlink/agent/shed_coordinator.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,60 +20,60 @@
 
 TEST(shedding, a_cold_upstream_warms_with_time_and_answers)
 {
-    internal::progress_judge judge(2s, start);
-    judge.assess(start, false, 10s);
-    EXPECT_EQ(judge.share(), full_share / 10);
+    internal::progress_monitor monitor(2s, start);
+    monitor.assess(start, false, 10s);
+    EXPECT_EQ(monitor.share(), full_share / 10);
     for (int i = 0; i < 16; ++i)
     {
-        judge.progressed(start + 5s);
+        monitor.progressed(start + 5s);
     }
-    judge.assess(start + 5s, false, 10s);
-    EXPECT_NEAR(judge.share(), 550000, 1000);
+    monitor.assess(start + 5s, false, 10s);
+    EXPECT_NEAR(monitor.share(), 550000, 1000);
     // Time alone does not warm an upstream that is asked and never answers.
-    internal::progress_judge deaf(2s, start);
-    deaf.assess(start + 60s, true, 10s);
-    EXPECT_EQ(deaf.share(), full_share / 10);
+    internal::progress_monitor unanswering(2s, start);
+    unanswering.assess(start + 60s, true, 10s);
+    EXPECT_EQ(unanswering.share(), full_share / 10);
 }
 
 TEST(shedding, a_stalled_upstream_falls_and_one_that_answers_recovers)
 {
-    internal::progress_judge judge(2s, start);
-    judge.assume_warm();
-    judge.progressed(start);
+    internal::progress_monitor monitor(2s, start);
+    monitor.assume_warm();
+    monitor.progressed(start);
     time_point now = start;
-    judge.assess(now, true, 10s);
-    EXPECT_EQ(judge.share(), full_share);
+    monitor.assess(now, true, 10s);
+    EXPECT_EQ(monitor.share(), full_share);
     for (int i = 0; i < 5; ++i)
     {
         now += 2s;
-        judge.assess(now, true, 10s);
+        monitor.assess(now, true, 10s);
     }
-    EXPECT_TRUE(judge.wants_to_shed());
-    EXPECT_LE(judge.share(), full_share / 8);
+    EXPECT_TRUE(monitor.wants_to_shed());
+    EXPECT_LE(monitor.share(), full_share / 8);
     // Hysteresis: the first sign of life doesn't end it, more do.
-    judge.progressed(now);
-    judge.assess(now, true, 10s);
-    EXPECT_TRUE(judge.wants_to_shed());
+    monitor.progressed(now);
+    monitor.assess(now, true, 10s);
+    EXPECT_TRUE(monitor.wants_to_shed());
     for (int i = 0; i < 3; ++i)
     {
-        judge.progressed(now);
-        judge.assess(now, true, 10s);
+        monitor.progressed(now);
+        monitor.assess(now, true, 10s);
     }
-    EXPECT_FALSE(judge.wants_to_shed());
+    EXPECT_FALSE(monitor.wants_to_shed());
 }
 
 TEST(shedding, at_most_a_third_gets_leave_also_across_wardens)
 {
-    internal::shed_warden warden(5s);
-    warden.appoint(start, true);
-    EXPECT_FALSE(warden.grant(start + 9s, 1, 7));
+    internal::shed_coordinator coordinator(5s);
+    coordinator.set_coordinator(start, true);
+    EXPECT_FALSE(coordinator.grant(start + 9s, 1, 7));
     const time_point now = start + 10s;
-    EXPECT_TRUE(warden.grant(now, 1, 7));
-    EXPECT_TRUE(warden.grant(now, 2, 7));
-    EXPECT_FALSE(warden.grant(now, 3, 7));
-    EXPECT_TRUE(warden.grant(now, 1, 7));
-    EXPECT_TRUE(warden.grant(now + 6s, 3, 7));
-    EXPECT_FALSE(warden.grant(now + 6s, 4, 2));
+    EXPECT_TRUE(coordinator.grant(now, 1, 7));
+    EXPECT_TRUE(coordinator.grant(now, 2, 7));
+    EXPECT_FALSE(coordinator.grant(now, 3, 7));
+    EXPECT_TRUE(coordinator.grant(now, 1, 7));
+    EXPECT_TRUE(coordinator.grant(now + 6s, 3, 7));
+    EXPECT_FALSE(coordinator.grant(now + 6s, 4, 2));
 }
 
 TEST(shedding, without_leave_a_stalled_upstream_still_takes_flows)
--- a/packages/agent/test/silent_inquiry_test.cpp
+++ b/packages/agent/test/silent_member_query_test.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/silent_inquiry.hpp"
+#include "crowlink/agent/silent_member_query.hpp"
 
 #include "agent_fixture.hpp"
 
@@ -36,14 +36,14 @@
     bool add(time_point now, std::uint16_t flow)
     {
         const packet_header header = packet_of(flow);
-        const bool is_kept = m_inquiry.add(now, header, {}, m_silent);
-        (void)m_inquiry.ask(now, much_room, m_silent);
+        const bool is_kept = m_silent_query.add(now, header, {}, m_silent);
+        (void)m_silent_query.ask(now, much_room, m_silent);
         return is_kept;
     }
 
     std::vector<candidate> m_silent{agent_fixture::identity(1),
                                     agent_fixture::identity(2)};
-    silent_inquiry m_inquiry;
+    silent_member_query m_silent_query;
 };
 
 } // namespace
@@ -51,20 +51,20 @@
 TEST_F(asked_members, are_asked_at_once_and_again_until_they_answer)
 {
     const packet_header header = packet_of(1);
-    ASSERT_TRUE(m_inquiry.add(start, header, {}, m_silent));
-    EXPECT_EQ(m_inquiry.ask(start, much_room, m_silent).size(), 2U);
-    m_inquiry.denied(hash_of(1), m_silent[0].tag);
-    EXPECT_EQ(m_inquiry.ask(start + 50ms, much_room, m_silent).size(), 1U);
-    EXPECT_TRUE(m_inquiry.take_unowned(start + 50ms).empty());
-    m_inquiry.denied(hash_of(1), m_silent[1].tag);
-    EXPECT_EQ(m_inquiry.take_unowned(start + 50ms).size(), 1U);
+    ASSERT_TRUE(m_silent_query.add(start, header, {}, m_silent));
+    EXPECT_EQ(m_silent_query.ask(start, much_room, m_silent).size(), 2U);
+    m_silent_query.denied(hash_of(1), m_silent[0].tag);
+    EXPECT_EQ(m_silent_query.ask(start + 50ms, much_room, m_silent).size(), 1U);
+    EXPECT_TRUE(m_silent_query.take_unowned(start + 50ms).empty());
+    m_silent_query.denied(hash_of(1), m_silent[1].tag);
+    EXPECT_EQ(m_silent_query.take_unowned(start + 50ms).size(), 1U);
 }
 
 TEST_F(asked_members, one_that_owns_the_flow_ends_the_wait)
 {
     ASSERT_TRUE(add(start, 1));
-    EXPECT_TRUE(m_inquiry.take(hash_of(1)));
-    EXPECT_TRUE(m_inquiry.take_unowned(start + waited).empty());
+    EXPECT_TRUE(m_silent_query.take(hash_of(1)));
+    EXPECT_TRUE(m_silent_query.take_unowned(start + waited).empty());
 }
 
 TEST_F(asked_members, are_waited_for_no_longer_than_callers_wait)
@@ -72,13 +72,13 @@
     ASSERT_TRUE(add(start, 1));
     // Another copy makes the wait no longer.
     ASSERT_TRUE(add(start + 100ms, 1));
-    EXPECT_EQ(m_inquiry.take_unowned(start + waited).size(), 1U);
+    EXPECT_EQ(m_silent_query.take_unowned(start + waited).size(), 1U);
 }
 
 TEST_F(asked_members, that_say_nothing_hold_up_no_further_flow)
 {
     ASSERT_TRUE(add(start, 1));
-    EXPECT_EQ(m_inquiry.take_unowned(start + waited).size(), 1U);
+    EXPECT_EQ(m_silent_query.take_unowned(start + waited).size(), 1U);
     EXPECT_FALSE(add(start + waited, 2));
 }
 
@@ -88,7 +88,7 @@
     for (duration passed{}; passed < 10min; passed += 1s)
     {
         waits += add(start + passed, 1) ? 1 : 0;
-        (void)m_inquiry.take_unowned(start + passed + waited);
+        (void)m_silent_query.take_unowned(start + passed + waited);
     }
     EXPECT_LE(waits, 8U);
 }
@@ -96,8 +96,8 @@
 TEST_F(asked_members, that_answer_again_are_waited_for)
 {
     ASSERT_TRUE(add(start, 1));
-    (void)m_inquiry.take_unowned(start + waited);
-    m_inquiry.heard(m_silent[0].tag);
+    (void)m_silent_query.take_unowned(start + waited);
+    m_silent_query.note_answer(m_silent[0].tag);
     EXPECT_TRUE(add(start + waited, 2));
 }
 
--- a/packages/agent/test/upstream_life_test.cpp
+++ b/packages/agent/test/upstream_life_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration patience = 4s;
+constexpr duration silence_timeout = 4s;
 const time_point start{1h};
 
 upstream_announcement told(const char* id, std::uint64_t sequence,
@@ -40,7 +40,7 @@
 
 TEST(upstream_life, is_unknown_until_it_announces_itself)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     life.tick(start);
     EXPECT_FALSE(life.status());
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
@@ -51,14 +51,14 @@
 
 TEST(upstream_life, one_that_ran_before_its_agent_may_hold_flows)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 17)));
     EXPECT_TRUE(life.status()->lived_on);
 }
 
 TEST(upstream_life, a_late_announcement_of_an_ended_life_is_refused)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 3)));
     ASSERT_TRUE(life.announce(start + 1s, told("i-2", 0)));
     const auto late = life.announce(start + 2s, told("i-1", 4));
@@ -70,7 +70,7 @@
 
 TEST(upstream_life, one_that_took_its_leave_does_not_come_back)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     life.withdraw(start + 1s, left("i-1"));
     EXPECT_TRUE(life.status()->is_gone);
@@ -80,7 +80,7 @@
 
 TEST(upstream_life, the_leave_of_another_life_changes_nothing)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-2", 0)));
     life.withdraw(start, left("i-1"));
     EXPECT_FALSE(life.status()->is_gone);
@@ -88,7 +88,7 @@
 
 TEST(upstream_life, announcements_that_overtook_each_other_leave_the_newest)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     ASSERT_TRUE(life.announce(start, told("i-1", 3, true)));
     ASSERT_TRUE(life.announce(start, told("i-1", 2, false)));
@@ -97,11 +97,11 @@
 
 TEST(upstream_life, silence_counts_as_its_end_until_it_is_heard_again)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
-    life.tick(start + patience - 1ms);
+    life.tick(start + silence_timeout - 1ms);
     EXPECT_FALSE(life.status()->is_gone);
-    life.tick(start + patience);
+    life.tick(start + silence_timeout);
     EXPECT_TRUE(life.status()->is_gone);
     ASSERT_TRUE(life.announce(start + 5s, told("i-1", 1)));
     EXPECT_FALSE(life.status()->is_gone);
@@ -111,7 +111,7 @@
 
 TEST(upstream_life, one_that_the_agent_found_is_taken_until_it_speaks)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     life.found(start, upstream_id("i-1"), true);
     EXPECT_EQ(life.status()->id, upstream_id("i-1"));
     EXPECT_TRUE(life.status()->lived_on);
@@ -123,7 +123,7 @@
 
 TEST(upstream_life, what_the_agent_found_never_replaces_an_announcement)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-2", 0)));
     life.found(start, upstream_id("i-1"), false);
     EXPECT_EQ(life.status()->id, upstream_id("i-2"));
@@ -131,7 +131,7 @@
 
 TEST(upstream_life, one_whose_port_is_closed_has_ended_until_it_speaks)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     life.refused();
     EXPECT_TRUE(life.status()->is_gone);
@@ -142,7 +142,7 @@
 
 TEST(upstream_life, one_that_starts_again_under_its_name_holds_nothing)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 41)));
     EXPECT_TRUE(life.status()->lived_on);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
@@ -153,7 +153,7 @@
 
 TEST(upstream_life, the_sequence_of_a_new_life_starts_anew)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 41)));
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
     upstream_announcement leaving = born("i-1", 2000, 2);
@@ -164,7 +164,7 @@
 
 TEST(upstream_life, a_late_word_of_the_former_life_changes_nothing)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
     const life_status before = *life.status();
@@ -177,7 +177,7 @@
 
 TEST(upstream_life, one_that_took_its_leave_may_start_again_under_its_name)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     life.withdraw(start + 1s, left("i-1"));
     EXPECT_FALSE(life.announce(start + 2s, born("i-1", 1000, 4)));
@@ -188,7 +188,7 @@
 
 TEST(upstream_life, a_life_that_told_its_start_goes_on_telling_it)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     const life_status before = *life.status();
     const auto other = life.announce(start + 1s, told("i-1", 4, true));
@@ -199,7 +199,7 @@
 
 TEST(upstream_life, one_that_the_agent_found_tells_its_start_and_lives_on)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     life.found(start, upstream_id("i-1"), false);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 1000, 9)));
     EXPECT_EQ(life.status()->started, incarnation(1000));
@@ -211,7 +211,7 @@
 // answered its first words.
 TEST(upstream_life, one_that_has_hardly_spoken_has_just_started)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 4)));
     EXPECT_TRUE(life.status()->lived_on);
     EXPECT_TRUE(life.status()->is_young());
@@ -220,7 +220,7 @@
 
 TEST(upstream_life, one_that_has_spoken_for_long_lived_on)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     const std::uint64_t last = life_status::last_young_sequence;
     ASSERT_TRUE(life.announce(start, told("i-1", last + 1)));
     EXPECT_TRUE(life.status()->lived_on);
@@ -229,7 +229,7 @@
 
 TEST(upstream_life, one_that_the_agent_found_tells_its_age_with_its_first_word)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     life.found(start, upstream_id("i-1"), false);
     EXPECT_FALSE(life.status()->is_young());
     ASSERT_TRUE(life.announce(start + 1s, told("i-1", 3)));
@@ -241,9 +241,9 @@
 
 TEST(upstream_life, one_that_was_silent_may_hold_flows_of_any_age)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 1)));
-    life.tick(start + patience);
+    life.tick(start + silence_timeout);
     ASSERT_TRUE(life.announce(start + 5s, told("i-1", 2)));
     EXPECT_TRUE(life.status()->lived_on);
     EXPECT_FALSE(life.status()->is_young());
@@ -251,10 +251,10 @@
 
 TEST(upstream_life, a_refused_word_is_no_sign_of_life)
 {
-    upstream_life life(patience);
+    upstream_life life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     EXPECT_FALSE(life.announce(start + 3s, told("i-1", 4)));
-    life.tick(start + patience);
+    life.tick(start + silence_timeout);
     EXPECT_TRUE(life.status()->is_gone);
 }
 
