--- a/packages/agent/include/crowlink/agent.hpp
+++ b/packages/agent/include/crowlink/agent.hpp
@@ -15,7 +15,7 @@
 //   shed_notice.hpp      permission to take no new flow
 //   flow_refusal.hpp     why a caller is refused or reset
 //   flow_decision.hpp    one decision, for the log
-//   hand_on_opening.hpp  forwards an opening packet that arrived by mistake
+//   forward_opening.hpp  forwards an opening packet that arrived by mistake
 //
 // The parts below are internal:
 //
@@ -42,7 +42,7 @@
 #include "crowlink/agent/agent_settings.hpp"
 #include "crowlink/agent/flow_decision.hpp"
 #include "crowlink/agent/flow_refusal.hpp"
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 #include "crowlink/agent/load_notice.hpp"
 #include "crowlink/agent/peer_message.hpp"
 #include "crowlink/agent/redirect_notice.hpp"
--- a/packages/agent/src/agent_packets.cpp
+++ b/packages/agent/src/agent_packets.cpp
@@ -1,6 +1,6 @@
 #include "crowlink/agent/agent.hpp"
 #include "crowlink/agent/chain_walk.hpp"
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 
 namespace crowlink
 {
@@ -80,7 +80,7 @@
 {
     packet_header header = event.header;
     if (header.hops >= internal::hop_limit ||
-        !hand_on_opening(header, m_self.agent))
+        !forward_opening(header, m_self.agent))
     {
         return;
     }
--- a/packages/agent/src/hand_on_opening.cpp
+++ b/packages/agent/src/forward_opening.cpp
@@ -1,9 +1,9 @@
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 
 namespace crowlink
 {
 
-bool hand_on_opening(packet_header& header, const endpoint& from)
+bool forward_opening(packet_header& header, const endpoint& from)
 {
     if (header.role != packet_role::opens)
     {
--- a/packages/agent/test/former_life_test.cpp
+++ b/packages/agent/test/former_life_test.cpp
@@ -1,7 +1,7 @@
 #include "agent_fixture.hpp"
 
 #include "crowlink/agent/chain_walk.hpp"
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 
 #include <gtest/gtest.h>
 
@@ -122,7 +122,7 @@
     EXPECT_TRUE(effects.sent.empty());
 }
 
-TEST(hand_on_opening, passes_over_other_lives_at_the_same_address)
+TEST(forward_opening, passes_over_other_lives_at_the_same_address)
 {
     packet_header sent;
     sent.role = packet_role::opens;
@@ -130,19 +130,19 @@
     sent.current.push_back(here);
     sent.current.push_back(candidate{here.agent, here.tag + 1});
     sent.current.push_back(agent_fixture::identity(2));
-    ASSERT_TRUE(hand_on_opening(sent, here.agent));
+    ASSERT_TRUE(forward_opening(sent, here.agent));
     EXPECT_EQ(sent.position, 2);
     EXPECT_EQ(sent.pass, packet_pass::admit);
-    EXPECT_FALSE(hand_on_opening(sent, agent_fixture::address(2)));
+    EXPECT_FALSE(forward_opening(sent, agent_fixture::address(2)));
 }
 
-TEST(hand_on_opening, leaves_alone_what_opens_nothing)
+TEST(forward_opening, leaves_alone_what_opens_nothing)
 {
     packet_header sent;
     sent.role = packet_role::continues;
     sent.current.push_back(agent_fixture::identity(0));
     sent.current.push_back(agent_fixture::identity(1));
-    EXPECT_FALSE(hand_on_opening(sent, agent_fixture::address(0)));
+    EXPECT_FALSE(forward_opening(sent, agent_fixture::address(0)));
 }
 
 } // namespace
--- a/packages/daemon/src/agent/agent_loop.cpp
+++ b/packages/daemon/src/agent/agent_loop.cpp
@@ -4,7 +4,7 @@
 
 #include "agent/agent_report.hpp"
 #include "agent/peer_codec.hpp"
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 #include "process/process_identity.hpp"
 
 #include <algorithm>
@@ -198,7 +198,7 @@
 void agent_loop<Delivery>::hand_on(const forward_datagram& packet)
 {
     packet_header header = packet.header;
-    if (hand_on_opening(header, m_self.agent))
+    if (forward_opening(header, m_self.agent))
     {
         ++m_handed_on;
         forward(header.current[header.position].agent, header, packet.payload);
