--- a/packages/agent/include/crowlink/agent/upstream_life.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_life.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "crowlink/agent/upstream_announcement.hpp"
-#include "crowlink/agent/upstream_farewell.hpp"
+#include "crowlink/agent/upstream_withdrawal.hpp"
 #include "crowlink/base/error.hpp"
 #include "crowlink/base/time.hpp"
 
@@ -82,7 +82,7 @@
 
     // The upstream announces its end. Has no effect for an incarnation that is
     // unknown or has ended.
-    void withdraw(time_point now, const upstream_farewell& told);
+    void withdraw(time_point now, const upstream_withdrawal& told);
 
     // Detects silence.
     void tick(time_point now);
--- a/packages/agent/src/upstream_life.cpp
+++ b/packages/agent/src/upstream_life.cpp
@@ -132,7 +132,7 @@
     }
 }
 
-void upstream_life::withdraw(time_point now, const upstream_farewell& told)
+void upstream_life::withdraw(time_point now, const upstream_withdrawal& told)
 {
     const bool is_present = m_status && m_status->id == told.id;
     const bool is_another = is_present && told.started && m_status->started &&
--- a/packages/agent/test/upstream_life_test.cpp
+++ b/packages/agent/test/upstream_life_test.cpp
@@ -32,10 +32,10 @@
     return made;
 }
 
-upstream_farewell left(const char* id,
-                       std::optional<incarnation> started = std::nullopt)
+upstream_withdrawal left(const char* id,
+                         std::optional<incarnation> started = std::nullopt)
 {
-    return upstream_farewell{upstream_id(id), started};
+    return upstream_withdrawal{upstream_id(id), started};
 }
 
 TEST(upstream_life, is_unknown_until_it_announces_itself)
--- a/packages/daemon/src/agent/agent_role.cpp
+++ b/packages/daemon/src/agent/agent_role.cpp
@@ -73,7 +73,7 @@
     publish_status();
 }
 
-void agent_role::withdraw(time_point now, const upstream_farewell& told)
+void agent_role::withdraw(time_point now, const upstream_withdrawal& told)
 {
     const std::lock_guard lock(m_life_mutex);
     m_life->withdraw(now, told);
--- a/packages/daemon/src/agent/agent_role.hpp
+++ b/packages/daemon/src/agent/agent_role.hpp
@@ -44,7 +44,7 @@
     // from any thread.
     bool is_announced() const;
     result<void> announce(time_point now, const upstream_announcement& told);
-    void withdraw(time_point now, const upstream_farewell& told);
+    void withdraw(time_point now, const upstream_withdrawal& told);
     void found(time_point now, const upstream_id& id, bool leaves);
     // Whether the upstream has ended, or has not been heard of.
     bool is_upstream_gone() const;
--- a/packages/daemon/src/process/platform_calls.cpp
+++ b/packages/daemon/src/process/platform_calls.cpp
@@ -192,7 +192,7 @@
     {
         return agent.announce(steady_clock_source().now(), told);
     };
-    calls.withdraw = [&agent](const upstream_farewell& told) -> result<void>
+    calls.withdraw = [&agent](const upstream_withdrawal& told) -> result<void>
     {
         agent.withdraw(steady_clock_source().now(), told);
         return {};
