--- a/packages/agent/include/crowlink/agent/upstream_life.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_tracker.hpp
@@ -14,7 +14,7 @@
 {
 
 // The state of the upstream beside an agent, according to its announcements.
-struct life_status
+struct tracked_upstream
 {
     upstream_id id;
     // Higher in each later incarnation of the same name; absent until
@@ -47,7 +47,8 @@
     // nobody answers.
     static constexpr std::uint64_t last_young_sequence = 8;
 
-    friend auto operator<=>(const life_status&, const life_status&) = default;
+    friend auto operator<=>(const tracked_upstream&,
+                            const tracked_upstream&) = default;
 };
 
 // Tracks the successive incarnations of the upstream beside an agent. An
@@ -55,12 +56,12 @@
 // name holds no earlier flow, and its sequence restarts. An announcement of an
 // ended incarnation that arrives after the next one has begun at the same
 // address is refused. Without I/O.
-class upstream_life
+class upstream_tracker
 {
 public:
     // Silence for `silence_timeout` counts as the upstream's end, until it is
     // heard again.
-    explicit upstream_life(duration silence_timeout)
+    explicit upstream_tracker(duration silence_timeout)
         : m_silence_timeout(silence_timeout)
     {
     }
@@ -88,7 +89,7 @@
     void tick(time_point now);
 
     // Empty before the first announcement.
-    const std::optional<life_status>& status() const { return m_status; }
+    const std::optional<tracked_upstream>& status() const { return m_status; }
 
 private:
     // An incarnation that has ended.
@@ -107,7 +108,7 @@
     void end_current();
 
     duration m_silence_timeout;
-    std::optional<life_status> m_status;
+    std::optional<tracked_upstream> m_status;
     std::uint64_t m_sequence = 0;
     time_point m_last_heard{};
     // Oldest first, bounded.
--- a/packages/agent/src/upstream_life.cpp
+++ b/packages/agent/src/upstream_tracker.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/upstream_life.hpp"
+#include "crowlink/agent/upstream_tracker.hpp"
 
 #include <algorithm>
 
@@ -15,8 +15,8 @@
 
 } // namespace
 
-result<void> upstream_life::announce(time_point now,
-                                     const upstream_announcement& announced)
+result<void> upstream_tracker::announce(time_point now,
+                                        const upstream_announcement& announced)
 {
     if (auto checked = check_start(announced); !checked)
     {
@@ -55,15 +55,15 @@
 
 // A fixed value when it is warm, so that its announcements do not differ from
 // each other.
-time_point upstream_life::cold_until(time_point now,
-                                     const upstream_announcement& announced)
+time_point upstream_tracker::cold_until(time_point now,
+                                        const upstream_announcement& announced)
 {
     const bool is_cold = announced.warm_up_left > duration::zero();
     return is_cold ? now + announced.warm_up_left : time_point();
 }
 
 result<void>
-upstream_life::check_start(const upstream_announcement& announced) const
+upstream_tracker::check_start(const upstream_announcement& announced) const
 {
     if (has_ended(announced))
     {
@@ -87,7 +87,7 @@
 // A start that is announced for the first time belongs to the known
 // incarnation: treating it as a new one would end flows that the upstream may
 // hold.
-bool upstream_life::is_new_incarnation(
+bool upstream_tracker::is_new_incarnation(
     const upstream_announcement& announced) const
 {
     if (!m_status || m_status->id != announced.id)
@@ -97,34 +97,34 @@
     return m_status->started && m_status->started < announced.started;
 }
 
-void upstream_life::begin(const upstream_announcement& announced)
+void upstream_tracker::begin(const upstream_announcement& announced)
 {
     end_current();
     m_sequence = announced.sequence;
-    m_status = life_status{announced.id,
-                           announced.started,
-                           0,
-                           announced.slots,
-                           announced.sequence > first_sequence,
-                           announced.leaves,
-                           false,
-                           announced.sequence,
-                           time_point()};
+    m_status = tracked_upstream{announced.id,
+                                announced.started,
+                                0,
+                                announced.slots,
+                                announced.sequence > first_sequence,
+                                announced.leaves,
+                                false,
+                                announced.sequence,
+                                time_point()};
 }
 
-void upstream_life::found(time_point now, const upstream_id& id, bool leaves)
+void upstream_tracker::found(time_point now, const upstream_id& id, bool leaves)
 {
     if (m_status)
     {
         return;
     }
-    m_status = life_status{id,     std::nullopt, 0, 0,           true,
-                           leaves, false,        0, time_point()};
+    m_status = tracked_upstream{id,     std::nullopt, 0, 0,           true,
+                                leaves, false,        0, time_point()};
     m_sequence = 0;
     m_last_heard = now;
 }
 
-void upstream_life::refused()
+void upstream_tracker::refused()
 {
     if (m_status)
     {
@@ -132,7 +132,7 @@
     }
 }
 
-void upstream_life::withdraw(time_point now, const upstream_withdrawal& told)
+void upstream_tracker::withdraw(time_point now, const upstream_withdrawal& told)
 {
     const bool is_present = m_status && m_status->id == told.id;
     const bool is_another = is_present && told.started && m_status->started &&
@@ -146,7 +146,7 @@
     end_current();
 }
 
-void upstream_life::tick(time_point now)
+void upstream_tracker::tick(time_point now)
 {
     if (m_status && now - m_last_heard >= m_silence_timeout)
     {
@@ -156,7 +156,7 @@
 
 // An ended incarnation with a known start allows later ones of its name; one
 // without ended the name.
-bool upstream_life::has_ended(const upstream_announcement& announced) const
+bool upstream_tracker::has_ended(const upstream_announcement& announced) const
 {
     return std::any_of(m_ended.begin(), m_ended.end(),
                        [&announced](const ended_incarnation& each)
@@ -167,7 +167,7 @@
                        });
 }
 
-void upstream_life::end_current()
+void upstream_tracker::end_current()
 {
     if (!m_status)
     {
--- a/packages/agent/test/upstream_life_test.cpp
+++ b/packages/agent/test/upstream_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "crowlink/agent/upstream_life.hpp"
+#include "crowlink/agent/upstream_tracker.hpp"
 
 #include <gtest/gtest.h>
 
@@ -38,9 +38,9 @@
     return upstream_withdrawal{upstream_id(id), started};
 }
 
-TEST(upstream_life, is_unknown_until_it_announces_itself)
+TEST(upstream_tracker, is_unknown_until_it_announces_itself)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     life.tick(start);
     EXPECT_FALSE(life.status());
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
@@ -49,16 +49,16 @@
     EXPECT_FALSE(life.status()->is_gone);
 }
 
-TEST(upstream_life, one_that_ran_before_its_agent_may_hold_flows)
+TEST(upstream_tracker, one_that_ran_before_its_agent_may_hold_flows)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 17)));
     EXPECT_TRUE(life.status()->lived_on);
 }
 
-TEST(upstream_life, a_late_announcement_of_an_ended_life_is_refused)
+TEST(upstream_tracker, a_late_announcement_of_an_ended_life_is_refused)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 3)));
     ASSERT_TRUE(life.announce(start + 1s, told("i-2", 0)));
     const auto late = life.announce(start + 2s, told("i-1", 4));
@@ -68,9 +68,9 @@
     EXPECT_FALSE(life.status()->is_gone);
 }
 
-TEST(upstream_life, one_that_took_its_leave_does_not_come_back)
+TEST(upstream_tracker, one_that_took_its_leave_does_not_come_back)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     life.withdraw(start + 1s, left("i-1"));
     EXPECT_TRUE(life.status()->is_gone);
@@ -78,26 +78,26 @@
     EXPECT_TRUE(life.status()->is_gone);
 }
 
-TEST(upstream_life, the_leave_of_another_life_changes_nothing)
+TEST(upstream_tracker, the_leave_of_another_life_changes_nothing)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-2", 0)));
     life.withdraw(start, left("i-1"));
     EXPECT_FALSE(life.status()->is_gone);
 }
 
-TEST(upstream_life, announcements_that_overtook_each_other_leave_the_newest)
+TEST(upstream_tracker, announcements_that_overtook_each_other_leave_the_newest)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     ASSERT_TRUE(life.announce(start, told("i-1", 3, true)));
     ASSERT_TRUE(life.announce(start, told("i-1", 2, false)));
     EXPECT_TRUE(life.status()->leaves);
 }
 
-TEST(upstream_life, silence_counts_as_its_end_until_it_is_heard_again)
+TEST(upstream_tracker, silence_counts_as_its_end_until_it_is_heard_again)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     life.tick(start + silence_timeout - 1ms);
     EXPECT_FALSE(life.status()->is_gone);
@@ -109,9 +109,9 @@
     EXPECT_TRUE(life.status()->lived_on);
 }
 
-TEST(upstream_life, one_that_the_agent_found_is_taken_until_it_speaks)
+TEST(upstream_tracker, one_that_the_agent_found_is_taken_until_it_speaks)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     life.found(start, upstream_id("i-1"), true);
     EXPECT_EQ(life.status()->id, upstream_id("i-1"));
     EXPECT_TRUE(life.status()->lived_on);
@@ -121,17 +121,17 @@
     EXPECT_EQ(life.status()->returns, 0U);
 }
 
-TEST(upstream_life, what_the_agent_found_never_replaces_an_announcement)
+TEST(upstream_tracker, what_the_agent_found_never_replaces_an_announcement)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-2", 0)));
     life.found(start, upstream_id("i-1"), false);
     EXPECT_EQ(life.status()->id, upstream_id("i-2"));
 }
 
-TEST(upstream_life, one_whose_port_is_closed_has_ended_until_it_speaks)
+TEST(upstream_tracker, one_whose_port_is_closed_has_ended_until_it_speaks)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     life.refused();
     EXPECT_TRUE(life.status()->is_gone);
@@ -140,9 +140,9 @@
     EXPECT_EQ(life.status()->returns, 1U);
 }
 
-TEST(upstream_life, one_that_starts_again_under_its_name_holds_nothing)
+TEST(upstream_tracker, one_that_starts_again_under_its_name_holds_nothing)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 41)));
     EXPECT_TRUE(life.status()->lived_on);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
@@ -151,9 +151,9 @@
     EXPECT_FALSE(life.status()->is_gone);
 }
 
-TEST(upstream_life, the_sequence_of_a_new_life_starts_anew)
+TEST(upstream_tracker, the_sequence_of_a_new_life_starts_anew)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 41)));
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
     upstream_announcement leaving = born("i-1", 2000, 2);
@@ -162,12 +162,12 @@
     EXPECT_TRUE(life.status()->leaves);
 }
 
-TEST(upstream_life, a_late_word_of_the_former_life_changes_nothing)
+TEST(upstream_tracker, a_late_word_of_the_former_life_changes_nothing)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
-    const life_status before = *life.status();
+    const tracked_upstream before = *life.status();
     const auto late = life.announce(start + 2s, born("i-1", 1000, 4));
     ASSERT_FALSE(late);
     EXPECT_EQ(late.error().kind, error_kind::conflict);
@@ -175,9 +175,9 @@
     EXPECT_EQ(*life.status(), before);
 }
 
-TEST(upstream_life, one_that_took_its_leave_may_start_again_under_its_name)
+TEST(upstream_tracker, one_that_took_its_leave_may_start_again_under_its_name)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     life.withdraw(start + 1s, left("i-1"));
     EXPECT_FALSE(life.announce(start + 2s, born("i-1", 1000, 4)));
@@ -186,20 +186,20 @@
     EXPECT_FALSE(life.status()->lived_on);
 }
 
-TEST(upstream_life, a_life_that_told_its_start_goes_on_telling_it)
+TEST(upstream_tracker, a_life_that_told_its_start_goes_on_telling_it)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
-    const life_status before = *life.status();
+    const tracked_upstream before = *life.status();
     const auto other = life.announce(start + 1s, told("i-1", 4, true));
     ASSERT_FALSE(other);
     EXPECT_EQ(other.error().kind, error_kind::invalid);
     EXPECT_EQ(*life.status(), before);
 }
 
-TEST(upstream_life, one_that_the_agent_found_tells_its_start_and_lives_on)
+TEST(upstream_tracker, one_that_the_agent_found_tells_its_start_and_lives_on)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     life.found(start, upstream_id("i-1"), false);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 1000, 9)));
     EXPECT_EQ(life.status()->started, incarnation(1000));
@@ -209,27 +209,28 @@
 
 // All hosts lost power: the upstream was up before its agent, and nobody
 // answered its first words.
-TEST(upstream_life, one_that_has_hardly_spoken_has_just_started)
+TEST(upstream_tracker, one_that_has_hardly_spoken_has_just_started)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 4)));
     EXPECT_TRUE(life.status()->lived_on);
     EXPECT_TRUE(life.status()->is_young());
     EXPECT_EQ(life.status()->first_heard, 4U);
 }
 
-TEST(upstream_life, one_that_has_spoken_for_long_lived_on)
+TEST(upstream_tracker, one_that_has_spoken_for_long_lived_on)
 {
-    upstream_life life(silence_timeout);
-    const std::uint64_t last = life_status::last_young_sequence;
+    upstream_tracker life(silence_timeout);
+    const std::uint64_t last = tracked_upstream::last_young_sequence;
     ASSERT_TRUE(life.announce(start, told("i-1", last + 1)));
     EXPECT_TRUE(life.status()->lived_on);
     EXPECT_FALSE(life.status()->is_young());
 }
 
-TEST(upstream_life, one_that_the_agent_found_tells_its_age_with_its_first_word)
+TEST(upstream_tracker,
+     one_that_the_agent_found_tells_its_age_with_its_first_word)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     life.found(start, upstream_id("i-1"), false);
     EXPECT_FALSE(life.status()->is_young());
     ASSERT_TRUE(life.announce(start + 1s, told("i-1", 3)));
@@ -239,9 +240,9 @@
     EXPECT_EQ(life.status()->first_heard, 3U);
 }
 
-TEST(upstream_life, one_that_was_silent_may_hold_flows_of_any_age)
+TEST(upstream_tracker, one_that_was_silent_may_hold_flows_of_any_age)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 1)));
     life.tick(start + silence_timeout);
     ASSERT_TRUE(life.announce(start + 5s, told("i-1", 2)));
@@ -249,9 +250,9 @@
     EXPECT_FALSE(life.status()->is_young());
 }
 
-TEST(upstream_life, a_refused_word_is_no_sign_of_life)
+TEST(upstream_tracker, a_refused_word_is_no_sign_of_life)
 {
-    upstream_life life(silence_timeout);
+    upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 3)));
     EXPECT_FALSE(life.announce(start + 3s, told("i-1", 4)));
     life.tick(start + silence_timeout);
--- a/packages/daemon/src/agent/agent_exchange.hpp
+++ b/packages/daemon/src/agent/agent_exchange.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "crowlink/agent/upstream_life.hpp"
+#include "crowlink/agent/upstream_tracker.hpp"
 #include "crowlink/model/service_view.hpp"
 #include "crowlink/transport/wake_event.hpp"
 #include "shared/snapshot_slot.hpp"
@@ -19,7 +19,7 @@
     snapshot_slot<service_view> view;
     std::atomic<bool> leave{false};
     // Of an upstream that announces itself; null until it does.
-    snapshot_slot<life_status> upstream;
+    snapshot_slot<tracked_upstream> upstream;
     wake_event to_agent;
     // From the agent.
     std::atomic<bool> upstream_refuses{false};
--- a/packages/daemon/src/agent/agent_loop.hpp
+++ b/packages/daemon/src/agent/agent_loop.hpp
@@ -77,8 +77,8 @@
     }
 
     void take_status();
-    void follow(const life_status& next);
-    void start_core(const life_status& next);
+    void follow(const tracked_upstream& next);
+    void start_core(const tracked_upstream& next);
     void take_returned(const upstream_packet& packet);
     void take_packet(const upstream_packet& packet);
     void take_work();
@@ -112,7 +112,7 @@
     datagram_batch m_received;
     datagram_batch m_to_send;
     std::shared_ptr<const service_view> m_view;
-    std::shared_ptr<const life_status> m_upstream;
+    std::shared_ptr<const tracked_upstream> m_upstream;
     // What is to be announced of this upstream and of those before it.
     std::map<upstream_id, upstream_record> m_wanted;
     bool m_left = false;
@@ -131,9 +131,9 @@
 template <>
 void agent_loop<flow_delivery>::take_status();
 template <>
-void agent_loop<flow_delivery>::follow(const life_status& next);
+void agent_loop<flow_delivery>::follow(const tracked_upstream& next);
 template <>
-void agent_loop<flow_delivery>::start_core(const life_status& next);
+void agent_loop<flow_delivery>::start_core(const tracked_upstream& next);
 template <>
 void agent_loop<flow_delivery>::take_packet(const upstream_packet& packet);
 template <>
--- a/packages/daemon/src/agent/agent_loop_upstream.cpp
+++ b/packages/daemon/src/agent/agent_loop_upstream.cpp
@@ -20,13 +20,14 @@
 // all lives have this one.
 constexpr std::uint64_t untold_start = 1;
 
-incarnation incarnation_of(const life_status& life)
+incarnation incarnation_of(const tracked_upstream& life)
 {
     return life.started.value_or(incarnation(untold_start));
 }
 
 // Whether the upstream beside this agent holds nothing of before.
-bool is_another_life(const life_status* before, const life_status& next)
+bool is_another_life(const tracked_upstream* before,
+                     const tracked_upstream& next)
 {
     if (before == nullptr || before->id != next.id ||
         before->returns != next.returns)
@@ -51,7 +52,7 @@
 }
 
 template <>
-void agent_loop<flow_delivery>::follow(const life_status& next)
+void agent_loop<flow_delivery>::follow(const tracked_upstream& next)
 {
     m_log.write(log_line(log_level::info, "upstream_announced")
                     .field("upstream", next.id.value())
@@ -95,7 +96,7 @@
 }
 
 template <>
-void agent_loop<flow_delivery>::start_core(const life_status& next)
+void agent_loop<flow_delivery>::start_core(const tracked_upstream& next)
 {
     const auto known = m_wanted.find(next.id);
     const std::uint64_t before =
--- a/packages/daemon/src/agent/agent_role.cpp
+++ b/packages/daemon/src/agent/agent_role.cpp
@@ -110,7 +110,8 @@
         return;
     }
     m_told = status;
-    m_exchange.upstream.publish(std::make_shared<const life_status>(*status));
+    m_exchange.upstream.publish(
+        std::make_shared<const tracked_upstream>(*status));
     m_exchange.to_agent.signal();
 }
 
--- a/packages/daemon/src/agent/agent_role.hpp
+++ b/packages/daemon/src/agent/agent_role.hpp
@@ -3,7 +3,7 @@
 #include "agent/agent_thread.hpp"
 #include "control/blackboard.hpp"
 #include "crowlink/agent/upstream_announcement.hpp"
-#include "crowlink/agent/upstream_life.hpp"
+#include "crowlink/agent/upstream_tracker.hpp"
 #include "crowlink/base/log_sink.hpp"
 #include "crowlink/settings/daemon_settings.hpp"
 #include "crowlink/transport/wake_event.hpp"
@@ -69,8 +69,8 @@
     std::shared_ptr<const std::map<upstream_id, upstream_record>> m_read;
     service_id m_service;
     mutable std::mutex m_life_mutex;
-    std::optional<upstream_life> m_life;
-    std::optional<life_status> m_told;
+    std::optional<upstream_tracker> m_life;
+    std::optional<tracked_upstream> m_told;
     std::unique_ptr<agent_thread> m_thread;
 };
 
