--- a/packages/agent/include/crowlink/agent/agent_events.hpp
+++ b/packages/agent/include/crowlink/agent/agent_events.hpp
@@ -79,7 +79,7 @@
 {
     // The upstream had just started by its own report: any flow that it holds
     // was opened moments ago, and only the latest tables list it.
-    bool is_young = false;
+    bool has_just_started = false;
 };
 
 // What the upstream reports about its start.
--- a/packages/agent/include/crowlink/agent/upstream_tracker.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_tracker.hpp
@@ -26,7 +26,7 @@
     std::uint32_t slots = 0;
     // Whether it ran before the agent first heard it, so that it may hold
     // flows.
-    bool lived_on = false;
+    bool was_running = false;
     bool leaves = false;
     // Whether it has withdrawn or is silent.
     bool is_gone = false;
@@ -38,14 +38,14 @@
 
     // Whether it had just started when the agent first heard it. It then holds
     // few earlier flows, all opened moments ago.
-    bool is_young() const
+    bool has_just_started() const
     {
-        return first_heard > 0 && first_heard <= last_young_sequence;
+        return first_heard > 0 && first_heard <= last_early_sequence;
     }
 
     // Upstreams announce themselves about once a second, and more often while
     // nobody answers.
-    static constexpr std::uint64_t last_young_sequence = 8;
+    static constexpr std::uint64_t last_early_sequence = 8;
 
     friend auto operator<=>(const tracked_upstream&,
                             const tracked_upstream&) = default;
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -128,7 +128,7 @@
     m_adopt_until = now + m_settings.settle;
     m_adopt_old_until = now + m_settings.adoption;
     // A walk visits every agent that a recent table lists.
-    m_may_hold_until = event.is_young ? now : m_adopt_old_until;
+    m_may_hold_until = event.has_just_started ? now : m_adopt_old_until;
     m_admission.progress().assume_warm();
 }
 
--- a/packages/agent/src/upstream_tracker.cpp
+++ b/packages/agent/src/upstream_tracker.cpp
@@ -40,7 +40,7 @@
     if (m_status->is_gone)
     {
         m_status->is_gone = false;
-        m_status->lived_on = true;
+        m_status->was_running = true;
         m_status->first_heard = 0;
         ++m_status->returns;
     }
--- a/packages/agent/test/searched_service.hpp
+++ b/packages/agent/test/searched_service.hpp
@@ -40,14 +40,15 @@
     }
 
     // The agent starts anew, beside an upstream that lived on or a new one.
-    void restart(std::size_t index, bool lived_on, bool is_young = false)
+    void restart(std::size_t index, bool was_running,
+                 bool has_just_started = false)
     {
         agent_settings settings;
         settings.self = agent_fixture::member(index);
         m_cores[index] = std::make_unique<agent>(settings, m_now);
-        if (lived_on)
+        if (was_running)
         {
-            handle(index, upstream_lived_on{is_young});
+            handle(index, upstream_lived_on{has_just_started});
         }
         handle(index, view_changed{m_view});
     }
--- a/packages/agent/test/upstream_tracker_test.cpp
+++ b/packages/agent/test/upstream_tracker_test.cpp
@@ -45,7 +45,7 @@
     EXPECT_FALSE(life.status());
     ASSERT_TRUE(life.announce(start, told("i-1", 0)));
     EXPECT_EQ(life.status()->id, upstream_id("i-1"));
-    EXPECT_FALSE(life.status()->lived_on);
+    EXPECT_FALSE(life.status()->was_running);
     EXPECT_FALSE(life.status()->is_gone);
 }
 
@@ -53,7 +53,7 @@
 {
     upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 17)));
-    EXPECT_TRUE(life.status()->lived_on);
+    EXPECT_TRUE(life.status()->was_running);
 }
 
 TEST(upstream_tracker, a_late_announcement_of_an_ended_life_is_refused)
@@ -106,7 +106,7 @@
     ASSERT_TRUE(life.announce(start + 5s, told("i-1", 1)));
     EXPECT_FALSE(life.status()->is_gone);
     EXPECT_EQ(life.status()->returns, 1U);
-    EXPECT_TRUE(life.status()->lived_on);
+    EXPECT_TRUE(life.status()->was_running);
 }
 
 TEST(upstream_tracker, one_that_the_agent_found_is_taken_until_it_speaks)
@@ -114,7 +114,7 @@
     upstream_tracker life(silence_timeout);
     life.found(start, upstream_id("i-1"), true);
     EXPECT_EQ(life.status()->id, upstream_id("i-1"));
-    EXPECT_TRUE(life.status()->lived_on);
+    EXPECT_TRUE(life.status()->was_running);
     EXPECT_TRUE(life.status()->leaves);
     ASSERT_TRUE(life.announce(start, told("i-1", 9)));
     EXPECT_FALSE(life.status()->leaves);
@@ -144,10 +144,10 @@
 {
     upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, born("i-1", 1000, 41)));
-    EXPECT_TRUE(life.status()->lived_on);
+    EXPECT_TRUE(life.status()->was_running);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 2000, 1)));
     EXPECT_EQ(life.status()->started, incarnation(2000));
-    EXPECT_FALSE(life.status()->lived_on);
+    EXPECT_FALSE(life.status()->was_running);
     EXPECT_FALSE(life.status()->is_gone);
 }
 
@@ -183,7 +183,7 @@
     EXPECT_FALSE(life.announce(start + 2s, born("i-1", 1000, 4)));
     ASSERT_TRUE(life.announce(start + 3s, born("i-1", 2000, 1)));
     EXPECT_FALSE(life.status()->is_gone);
-    EXPECT_FALSE(life.status()->lived_on);
+    EXPECT_FALSE(life.status()->was_running);
 }
 
 TEST(upstream_tracker, a_life_that_told_its_start_goes_on_telling_it)
@@ -203,7 +203,7 @@
     life.found(start, upstream_id("i-1"), false);
     ASSERT_TRUE(life.announce(start + 1s, born("i-1", 1000, 9)));
     EXPECT_EQ(life.status()->started, incarnation(1000));
-    EXPECT_TRUE(life.status()->lived_on);
+    EXPECT_TRUE(life.status()->was_running);
     EXPECT_EQ(life.status()->returns, 0U);
 }
 
@@ -213,18 +213,18 @@
 {
     upstream_tracker life(silence_timeout);
     ASSERT_TRUE(life.announce(start, told("i-1", 4)));
-    EXPECT_TRUE(life.status()->lived_on);
-    EXPECT_TRUE(life.status()->is_young());
+    EXPECT_TRUE(life.status()->was_running);
+    EXPECT_TRUE(life.status()->has_just_started());
     EXPECT_EQ(life.status()->first_heard, 4U);
 }
 
 TEST(upstream_tracker, one_that_has_spoken_for_long_lived_on)
 {
     upstream_tracker life(silence_timeout);
-    const std::uint64_t last = tracked_upstream::last_young_sequence;
+    const std::uint64_t last = tracked_upstream::last_early_sequence;
     ASSERT_TRUE(life.announce(start, told("i-1", last + 1)));
-    EXPECT_TRUE(life.status()->lived_on);
-    EXPECT_FALSE(life.status()->is_young());
+    EXPECT_TRUE(life.status()->was_running);
+    EXPECT_FALSE(life.status()->has_just_started());
 }
 
 TEST(upstream_tracker,
@@ -232,9 +232,9 @@
 {
     upstream_tracker life(silence_timeout);
     life.found(start, upstream_id("i-1"), false);
-    EXPECT_FALSE(life.status()->is_young());
+    EXPECT_FALSE(life.status()->has_just_started());
     ASSERT_TRUE(life.announce(start + 1s, told("i-1", 3)));
-    EXPECT_TRUE(life.status()->is_young());
+    EXPECT_TRUE(life.status()->has_just_started());
     // Later words change nothing of when it was heard first.
     ASSERT_TRUE(life.announce(start + 2s, told("i-1", 30)));
     EXPECT_EQ(life.status()->first_heard, 3U);
@@ -246,8 +246,8 @@
     ASSERT_TRUE(life.announce(start, told("i-1", 1)));
     life.tick(start + silence_timeout);
     ASSERT_TRUE(life.announce(start + 5s, told("i-1", 2)));
-    EXPECT_TRUE(life.status()->lived_on);
-    EXPECT_FALSE(life.status()->is_young());
+    EXPECT_TRUE(life.status()->was_running);
+    EXPECT_FALSE(life.status()->has_just_started());
 }
 
 TEST(upstream_tracker, a_refused_word_is_no_sign_of_life)
--- a/packages/daemon/src/agent/agent_loop_upstream.cpp
+++ b/packages/daemon/src/agent/agent_loop_upstream.cpp
@@ -58,9 +58,9 @@
                     .field("upstream", next.id.value())
                     .field("started", incarnation_of(next).value())
                     .field("returns", next.returns)
-                    .field("lived_on", next.lived_on)
+                    .field("lived_on", next.was_running)
                     .field("first_heard", next.first_heard)
-                    .field("young", next.is_young())
+                    .field("young", next.has_just_started())
                     .field("leaves", next.leaves)
                     .field("gone", next.is_gone)
                     .field("cold", next.cold_until > m_now));
@@ -76,14 +76,14 @@
         // upstream's word gives the name that peers know it by.
         start_core(next);
     }
-    else if (m_upstream->is_young() != next.is_young())
+    else if (m_upstream->has_just_started() != next.has_just_started())
     {
-        handle(upstream_lived_on{next.is_young()});
+        handle(upstream_lived_on{next.has_just_started()});
     }
     const bool is_first = m_upstream == nullptr;
     const bool is_silent_yet =
         !next.started && next.first_heard == 0 && next.returns == 0;
-    handle(upstream_told{next.cold_until, is_first && next.lived_on,
+    handle(upstream_told{next.cold_until, is_first && next.was_running,
                          is_silent_yet});
     if (next.leaves)
     {
@@ -112,9 +112,9 @@
     m_settings.self = m_self;
     m_settings.slots = next.slots;
     m_core.emplace(m_settings, m_now);
-    if (next.lived_on)
+    if (next.was_running)
     {
-        handle(upstream_lived_on{next.is_young()});
+        handle(upstream_lived_on{next.has_just_started()});
     }
     if (m_view != nullptr)
     {
