--- a/bench/placement/crowlink_policy.cpp
+++ b/bench/placement/crowlink_policy.cpp
@@ -270,7 +270,7 @@
     const agent_settings settings = settings_of(upstream);
     m_agents[upstream] =
         std::make_unique<agent_shell>(m_world, *this, upstream, settings);
-    m_agents[upstream]->handle(upstream_lived_on{});
+    m_agents[upstream]->handle(upstream_survived{});
     m_control.publish(settings.self);
 }
 
--- a/bench/placement/test/agent_findings_test.cpp
+++ b/bench/placement/test/agent_findings_test.cpp
@@ -159,7 +159,7 @@
 
 TEST_F(agent_findings, a_quiet_flow_survives_a_restart_of_its_agent)
 {
-    m_agent.handle(m_now, upstream_lived_on{}, m_effects);
+    m_agent.handle(m_now, upstream_survived{}, m_effects);
     // A shelf feed that says nothing for a minute.
     run(std::chrono::minutes(1));
     // No other agent knows it: this one is the last that is asked.
--- a/packages/agent/include/crowlink/agent/agent.hpp
+++ b/packages/agent/include/crowlink/agent/agent.hpp
@@ -240,8 +240,8 @@
     void on(time_point now, const packet_returned& event);
     void on(time_point now, const upstream_closed& event);
     void on(time_point now, const upstream_failed& event);
-    void on(time_point now, const upstream_lived_on& event);
-    void on(time_point now, const upstream_told& event);
+    void on(time_point now, const upstream_survived& event);
+    void on(time_point now, const upstream_start_reported& event);
     void on(time_point now, const message_arrived& event);
     void on(time_point now, const view_changed& event);
     void on(time_point now, const leave_requested& event);
--- a/packages/agent/include/crowlink/agent/agent_events.hpp
+++ b/packages/agent/include/crowlink/agent/agent_events.hpp
@@ -75,7 +75,7 @@
 
 // At the agent's start: the upstream was already running and still holds its
 // flows, so the agent may adopt them.
-struct upstream_lived_on
+struct upstream_survived
 {
     // The upstream had just started by its own report: any flow that it holds
     // was opened moments ago, and only the latest tables list it.
@@ -83,7 +83,7 @@
 };
 
 // What the upstream reports about its start.
-struct upstream_told
+struct upstream_start_reported
 {
     // The upstream is cold until then; a past time when it is warm.
     time_point cold_until{};
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -123,7 +123,7 @@
     set_state(upstream_state::gone);
 }
 
-void agent::on(time_point now, const upstream_lived_on& event)
+void agent::on(time_point now, const upstream_survived& event)
 {
     m_adopt_until = now + m_settings.settle;
     m_adopt_old_until = now + m_settings.adoption;
@@ -132,7 +132,7 @@
     m_admission.progress().assume_warm();
 }
 
-void agent::on(time_point now, const upstream_told& event)
+void agent::on(time_point now, const upstream_start_reported& event)
 {
     m_is_incarnation_uncertain = event.is_incarnation_uncertain;
     m_admission.cold().set_cold_until(event.cold_until);
--- a/packages/agent/test/cold_start_limiter_test.cpp
+++ b/packages/agent/test/cold_start_limiter_test.cpp
@@ -106,7 +106,7 @@
 protected:
     cold_upstream() : agent_fixture(3, warm_sharing(), 2000, limit)
     {
-        handle(upstream_told{now + 5s});
+        handle(upstream_start_reported{now + 5s});
     }
 
     void open(std::uint16_t number, bool will_retransmit)
--- a/packages/agent/test/former_life_test.cpp
+++ b/packages/agent/test/former_life_test.cpp
@@ -116,7 +116,7 @@
 // its name yet: the flow may be there.
 TEST_F(former_life, is_not_answered_for_before_the_upstream_has_spoken)
 {
-    handle(upstream_told{time_point(), true, true});
+    handle(upstream_start_reported{time_point(), true, true});
     effects.sent.clear();
     tell(owner_question{service_id(5), former().tag, identity(1), {flow(1)}});
     EXPECT_TRUE(effects.sent.empty());
--- a/packages/agent/test/mesh_changes.cpp
+++ b/packages/agent/test/mesh_changes.cpp
@@ -40,7 +40,7 @@
 {
     m_nodes[index].record.sequence += 1000;
     start_agent(index);
-    handle(index, upstream_lived_on{});
+    handle(index, upstream_survived{});
     handle(index, view_changed{view()});
     publish();
 }
--- a/packages/agent/test/ownership_test.cpp
+++ b/packages/agent/test/ownership_test.cpp
@@ -175,7 +175,7 @@
 TEST(ownership, adoption_leaves_alone_what_can_be_no_old_flow)
 {
     agent_fixture one(3);
-    one.handle(upstream_lived_on{});
+    one.handle(upstream_survived{});
     one.handle(leave_requested{});
     one.call(2);
     EXPECT_EQ(one.core->flows(), 0U);
--- a/packages/agent/test/returned_test.cpp
+++ b/packages/agent/test/returned_test.cpp
@@ -53,7 +53,7 @@
 TEST(returned, a_flow_that_was_taken_up_wrongly_is_looked_for_elsewhere)
 {
     agent_fixture fixture(3);
-    fixture.handle(upstream_lived_on{});
+    fixture.handle(upstream_survived{});
     packet_header later = three_candidates(fixture, packet_role::continues);
     later.pass = packet_pass::place;
     fixture.handle(packet_arrived{later, {}});
--- a/packages/agent/test/searched_service.hpp
+++ b/packages/agent/test/searched_service.hpp
@@ -48,7 +48,7 @@
         m_cores[index] = std::make_unique<agent>(settings, m_now);
         if (was_running)
         {
-            handle(index, upstream_lived_on{has_just_started});
+            handle(index, upstream_survived{has_just_started});
         }
         handle(index, view_changed{m_view});
     }
--- a/packages/daemon/src/agent/agent_loop_upstream.cpp
+++ b/packages/daemon/src/agent/agent_loop_upstream.cpp
@@ -78,13 +78,13 @@
     }
     else if (m_upstream->has_just_started() != next.has_just_started())
     {
-        handle(upstream_lived_on{next.has_just_started()});
+        handle(upstream_survived{next.has_just_started()});
     }
     const bool is_first = m_upstream == nullptr;
     const bool is_silent_yet =
         !next.started && next.first_heard == 0 && next.returns == 0;
-    handle(upstream_told{next.cold_until, is_first && next.was_running,
-                         is_silent_yet});
+    handle(upstream_start_reported{
+        next.cold_until, is_first && next.was_running, is_silent_yet});
     if (next.leaves)
     {
         handle(leave_requested{});
@@ -114,7 +114,7 @@
     m_core.emplace(m_settings, m_now);
     if (next.was_running)
     {
-        handle(upstream_lived_on{next.has_just_started()});
+        handle(upstream_survived{next.has_just_started()});
     }
     if (m_view != nullptr)
     {
