--- a/packages/agent/include/crowlink/agent/agent_counts.hpp
+++ b/packages/agent/include/crowlink/agent/agent_counts.hpp
@@ -40,7 +40,7 @@
     std::uint64_t wrong_service = 0;
     std::uint64_t wrong_tag = 0;
     // Packets for an earlier incarnation of the upstream at this address.
-    std::uint64_t former_life = 0;
+    std::uint64_t former_incarnation = 0;
     std::uint64_t too_many_hops = 0;
     std::uint64_t unknown_answers = 0;
     // Messages sent, and the redirects in them.
--- a/packages/agent/src/agent_packets.cpp
+++ b/packages/agent/src/agent_packets.cpp
@@ -58,7 +58,7 @@
                                                 const packet_arrived& event)
 {
     packet_header header = event.header;
-    ++m_counts.former_life;
+    ++m_counts.former_incarnation;
     const bool is_known = m_flows.find(header.flow) != nullptr;
     if (header.pass == packet_pass::walk && !is_known &&
         header.hops < internal::hop_limit)
--- a/packages/agent/test/former_life_test.cpp
+++ b/packages/agent/test/former_life_test.cpp
@@ -13,10 +13,10 @@
 
 // The upstream beside the agent has started anew, and others still name the
 // life that it had before.
-class former_life : public ::testing::Test, public agent_fixture
+class former_incarnation : public ::testing::Test, public agent_fixture
 {
 protected:
-    former_life() : agent_fixture(3) {}
+    former_incarnation() : agent_fixture(3) {}
 
     static candidate former()
     {
@@ -36,7 +36,7 @@
     }
 };
 
-TEST_F(former_life, a_flow_that_opens_is_served_by_the_present_one)
+TEST_F(former_incarnation, a_flow_that_opens_is_served_by_the_present_one)
 {
     handle(packet_arrived{named_by_former(1, packet_role::opens), {}});
     EXPECT_EQ(effects.delivered.size(), 1U);
@@ -44,7 +44,7 @@
     EXPECT_EQ(core->counts().wrong_tag, 0U);
 }
 
-TEST_F(former_life, an_old_flow_is_not_taken_for_one_of_the_present_one)
+TEST_F(former_incarnation, an_old_flow_is_not_taken_for_one_of_the_present_one)
 {
     handle(packet_arrived{
         named_by_former(1, packet_role::continues), {}, answer_need::required});
@@ -55,7 +55,7 @@
 }
 
 // The upstream returns an opening packet: the next candidate gets it.
-TEST_F(former_life, a_returned_packet_goes_on_to_the_next_candidate)
+TEST_F(former_incarnation, a_returned_packet_goes_on_to_the_next_candidate)
 {
     packet_header sent = named_by_former(1, packet_role::opens);
     sent.current.push_back(identity(1));
@@ -65,7 +65,8 @@
     EXPECT_TRUE(effects.refusals.empty());
 }
 
-TEST_F(former_life, a_packet_of_another_service_goes_on_to_its_next_candidate)
+TEST_F(former_incarnation,
+       a_packet_of_another_service_goes_on_to_its_next_candidate)
 {
     packet_header sent = header(1);
     sent.service = service_id(6);
@@ -79,7 +80,7 @@
 
 // Others name the former life again and again on the packet's way. It is met
 // once, at its own place in the order, and the packet goes on from there.
-TEST_F(former_life, a_walk_meets_it_once)
+TEST_F(former_incarnation, a_walk_meets_it_once)
 {
     packet_header sent = named_by_former(1, packet_role::continues);
     sent.pass = packet_pass::walk;
@@ -98,7 +99,7 @@
 
 // Who looks for a flow's owner need not wait for control to say that the former
 // life is over.
-TEST_F(former_life, has_no_flow_any_more_and_says_so)
+TEST_F(former_incarnation, has_no_flow_any_more_and_says_so)
 {
     const candidate asker = identity(1);
     effects.sent.clear();
@@ -114,7 +115,7 @@
 
 // The upstream lived on, and this agent, which has just started, does not know
 // its name yet: the flow may be there.
-TEST_F(former_life, is_not_answered_for_before_the_upstream_has_spoken)
+TEST_F(former_incarnation, is_not_answered_for_before_the_upstream_has_spoken)
 {
     handle(upstream_start_reported{time_point(), true, true});
     effects.sent.clear();
--- a/packages/daemon/src/agent/agent_report.cpp
+++ b/packages/daemon/src/agent/agent_report.cpp
@@ -63,7 +63,7 @@
     add("flows_idle_closed_total", counts.idle_closed);
     add("packets_wrong_service_total", counts.wrong_service);
     add("packets_wrong_tag_total", counts.wrong_tag);
-    add("packets_for_former_life_total", counts.former_life);
+    add("packets_for_former_life_total", counts.former_incarnation);
     add("packets_too_many_hops_total", counts.too_many_hops);
     add("answers_unknown_total", counts.unknown_answers);
     add("redirects_published_total", counts.redirects_published);
