--- a/packages/agent/include/crowlink/agent/owner_question.hpp
+++ b/packages/agent/include/crowlink/agent/owner_question.hpp
@@ -17,7 +17,7 @@
 {
     // A question about this many IPv6 flows fits into one datagram of 1,400
     // bytes.
-    static constexpr std::size_t most_flows = 24;
+    static constexpr std::size_t max_flows = 24;
 
     service_id service;
     // The receiving agent; any other drops the question.
--- a/packages/agent/include/crowlink/agent/owner_search.hpp
+++ b/packages/agent/include/crowlink/agent/owner_search.hpp
@@ -69,7 +69,7 @@
     // At 1.3 KB for each flow and 4 bytes for each of its members, 1.4 MB with
     // 1,000 members. Beyond this limit the caller's next retransmission may
     // start a search.
-    static constexpr std::size_t most_flows = 256;
+    static constexpr std::size_t max_flows = 256;
     explicit owner_search(const search_times& times = {}) : m_times(times) {}
 
     // Starts a search, or replaces the packet of a running one. Returns whether
--- a/packages/agent/include/crowlink/agent/redirect_notice.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_notice.hpp
@@ -33,7 +33,7 @@
 struct redirect_notice
 {
     // A notice of this many IPv6 flows fits into one datagram of 1,400 bytes.
-    static constexpr std::size_t most_flows = 20;
+    static constexpr std::size_t max_flows = 20;
 
     service_id service;
     // The receiving agent; any other drops the notice.
--- a/packages/agent/include/crowlink/agent/retransmission_detector.hpp
+++ b/packages/agent/include/crowlink/agent/retransmission_detector.hpp
@@ -20,7 +20,7 @@
     // closer together are one request in several packets.
     static constexpr duration retransmit_after = std::chrono::milliseconds(180);
     // The limit of observed flows; beyond it none is added.
-    static constexpr std::size_t most_flows = 4096;
+    static constexpr std::size_t max_flows = 4096;
     // A flow without packets for this long is erased.
     static constexpr duration lifetime = std::chrono::seconds(10);
 
--- a/packages/agent/include/crowlink/agent/returned_flows.hpp
+++ b/packages/agent/include/crowlink/agent/returned_flows.hpp
@@ -18,7 +18,7 @@
     // caller's retransmissions in between.
     static constexpr duration lifetime = std::chrono::seconds(30);
     // Beyond this limit none is added: the flow is then tried here again.
-    static constexpr std::size_t most_flows = 16384;
+    static constexpr std::size_t max_flows = 16384;
 
     void add(time_point now, const flow_key& flow);
     bool holds(const flow_key& flow) const { return m_until.count(flow) != 0; }
--- a/packages/agent/src/owner_search.cpp
+++ b/packages/agent/src/owner_search.cpp
@@ -49,7 +49,7 @@
 {
     const std::uint64_t flow = stable_hash(header.flow);
     const bool is_known = m_flows.count(flow) != 0;
-    if (!is_known && m_flows.size() >= most_flows)
+    if (!is_known && m_flows.size() >= max_flows)
     {
         return false;
     }
@@ -92,7 +92,7 @@
         while (!flows.empty())
         {
             const std::size_t count =
-                std::min(flows.size(), owner_question::most_flows);
+                std::min(flows.size(), owner_question::max_flows);
             const auto first = flows.end() - static_cast<std::ptrdiff_t>(count);
             questions.push_back(addressed_question{to, {first, flows.end()}});
             flows.erase(first, flows.end());
--- a/packages/agent/src/redirect_batch.cpp
+++ b/packages/agent/src/redirect_batch.cpp
@@ -12,7 +12,7 @@
     {
         return open.notice.receiver == empty.receiver &&
                open.notice.lifetime == empty.lifetime &&
-               open.notice.flows.size() < redirect_notice::most_flows;
+               open.notice.flows.size() < redirect_notice::max_flows;
     };
     auto found = std::find_if(m_notices.rbegin(), m_notices.rend(), has_room);
     if (found == m_notices.rend())
--- a/packages/agent/src/retransmission_detector.cpp
+++ b/packages/agent/src/retransmission_detector.cpp
@@ -9,7 +9,7 @@
     const auto known = m_unacknowledged.find(flow);
     if (known == m_unacknowledged.end())
     {
-        if (m_unacknowledged.size() < most_flows)
+        if (m_unacknowledged.size() < max_flows)
         {
             m_unacknowledged.emplace(flow, unanswered{now, sequence});
         }
--- a/packages/agent/src/returned_flows.cpp
+++ b/packages/agent/src/returned_flows.cpp
@@ -5,7 +5,7 @@
 
 void returned_flows::add(time_point now, const flow_key& flow)
 {
-    if (m_until.size() < most_flows)
+    if (m_until.size() < max_flows)
     {
         m_until[flow] = now + lifetime;
     }
--- a/packages/agent/test/owner_search_test.cpp
+++ b/packages/agent/test/owner_search_test.cpp
@@ -86,13 +86,13 @@
 TEST(owner_search, flows_share_questions)
 {
     owner_search search;
-    for (std::uint16_t flow = 0; flow < owner_question::most_flows; ++flow)
+    for (std::uint16_t flow = 0; flow < owner_question::max_flows; ++flow)
     {
         search.add(start, packet_of(flow), {}, false);
     }
     const auto asked = search.ask(start, much_room, members(5));
     EXPECT_EQ(asked.size(), 5U);
-    EXPECT_EQ(asked[0].flows.size(), owner_question::most_flows);
+    EXPECT_EQ(asked[0].flows.size(), owner_question::max_flows);
     search.add(start, packet_of(100), {}, false);
     const time_point next = start + search_times().round;
     EXPECT_EQ(search.ask(next, much_room, members(5)).size(), 10U);
@@ -147,7 +147,7 @@
 TEST(owner_search, holds_so_many_flows_and_renews_those)
 {
     owner_search search;
-    for (std::uint16_t flow = 0; flow < owner_search::most_flows; ++flow)
+    for (std::uint16_t flow = 0; flow < owner_search::max_flows; ++flow)
     {
         ASSERT_TRUE(search.add(start, packet_of(flow), {}, false));
     }
--- a/packages/agent/test/ownership_test.cpp
+++ b/packages/agent/test/ownership_test.cpp
@@ -160,7 +160,7 @@
             told += notice->flows.size();
             has_active = has_active ||
                          notice->flows.front().flow == agent_fixture::flow(7);
-            EXPECT_LE(notice->flows.size(), redirect_notice::most_flows);
+            EXPECT_LE(notice->flows.size(), redirect_notice::max_flows);
         }
     }
     EXPECT_LE(told, 257U);
--- a/packages/agent/test/search_test.cpp
+++ b/packages/agent/test/search_test.cpp
@@ -181,7 +181,7 @@
     const std::size_t heads = std::min<std::size_t>(GetParam(), lost_flows);
     const std::size_t rounds = 2;
     const std::size_t questions =
-        1 + lost_flows / heads / owner_question::most_flows;
+        1 + lost_flows / heads / owner_question::max_flows;
     EXPECT_LE(service.messages, 2 * rounds * questions * heads * GetParam());
     // Each goes along two chains at most.
     EXPECT_LE(service.forwards, std::size_t{8} * lost_flows);
--- a/packages/daemon/src/agent/peer_codec.cpp
+++ b/packages/daemon/src/agent/peer_codec.cpp
@@ -167,7 +167,7 @@
     value.receiver = in.receiver();
     value.lifetime = from_ms(in.lifetime_ms());
     const auto count = static_cast<std::size_t>(in.flows_size());
-    if (!read(in.owner(), value.owner) || count > redirect_notice::most_flows)
+    if (!read(in.owner(), value.owner) || count > redirect_notice::max_flows)
     {
         return std::nullopt;
     }
@@ -202,7 +202,7 @@
     value.service = service_id(in.service());
     value.receiver = in.receiver();
     const auto count = static_cast<std::size_t>(in.flows_size());
-    if (!read(in.sender(), value.sender) || count > owner_question::most_flows)
+    if (!read(in.sender(), value.sender) || count > owner_question::max_flows)
     {
         return std::nullopt;
     }
@@ -226,7 +226,7 @@
     const int count = in.flows_size();
     const bool is_whole =
         in.states_size() == count &&
-        static_cast<std::size_t>(count) <= owner_question::most_flows;
+        static_cast<std::size_t>(count) <= owner_question::max_flows;
     if (!is_whole || !read(in.sender(), value.sender))
     {
         return std::nullopt;
--- a/packages/daemon/test/peer_codec_test.cpp
+++ b/packages/daemon/test/peer_codec_test.cpp
@@ -19,7 +19,7 @@
     const candidate agent{*endpoint::parse("[2001:db8::1]:700"), 9};
     redirect_notice redirect{
         service_id(1), 5, agent, std::chrono::seconds(60), {}};
-    for (std::size_t at = 0; at < redirect_notice::most_flows; ++at)
+    for (std::size_t at = 0; at < redirect_notice::max_flows; ++at)
     {
         redirect.flows.push_back(
             owned_flow{flow_key{*endpoint::parse("[2001:db8::2]:4711"),
@@ -36,7 +36,7 @@
     {
         question.flows.push_back(each.flow);
     }
-    question.flows.resize(owner_question::most_flows, question.flows.front());
+    question.flows.resize(owner_question::max_flows, question.flows.front());
     for (const flow_key& each : question.flows)
     {
         const auto state = static_cast<ownership>(answer.flows.size() % 3);
