--- a/packages/agent/test/agent_fixture.hpp
+++ b/packages/agent/test/agent_fixture.hpp
@@ -9,8 +9,8 @@
 namespace crowlink::test
 {
 
-// One agent of a service with a number of members, settled, and a clock that
-// the test moves.
+// One agent of a service with a number of members, past its settling time, and
+// a clock that the test advances.
 class agent_fixture
 {
 public:
@@ -72,7 +72,8 @@
                         endpoint{address(201).address, 80}, transport::udp};
     }
 
-    // A packet whose chain has only this agent, so that no other is asked.
+    // A packet whose chain has only this agent, so that no other agent is
+    // asked.
     packet_header header(std::uint16_t number) const
     {
         packet_header made;
@@ -108,7 +109,7 @@
         core->handle(now, event, effects);
     }
 
-    // Tells the agent that its own upstream is to get nothing new, or may.
+    // Sends the agent a view in which its own upstream is draining or ready.
     void set_drained(bool drained)
     {
         const auto view = std::make_shared<service_view>(*m_view);
@@ -117,7 +118,7 @@
         handle(view_changed{view});
     }
 
-    // Lets time pass with a tick every 100 ms.
+    // Advances the clock with a tick every 100 ms.
     void advance(duration time)
     {
         constexpr duration step = std::chrono::milliseconds(100);
--- a/packages/agent/test/bounded_hops_test.cpp
+++ b/packages/agent/test/bounded_hops_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <gtest/gtest.h>
 
-// Whatever agents were told, and whichever of them restarted: a packet ends
-// delivered, with a reset, or held until more is known, and does not go round.
+// With any redirects and any restarted agents, a packet is delivered, reset, or
+// held until more is known, and does not loop.
 
 namespace crowlink::test
 {
@@ -16,7 +16,7 @@
 constexpr std::size_t members = searched_service::members;
 constexpr std::uint16_t flow_number = 9;
 
-// Each of two was told that the flow is with a third one, which lost it.
+// All agents hold a redirect to an owner that has lost the flow.
 TEST(hops, what_agents_were_told_of_a_lost_flow_leads_to_a_reset)
 {
     for (std::size_t owner = 0; owner < members; ++owner)
@@ -32,8 +32,8 @@
     }
 }
 
-// What agents were told of the flow, which of them restarted, and whether any
-// upstream holds it.
+// Draws the redirects that agents hold, the agents that restarted, and whether
+// an upstream holds the flow.
 void draw_past(searched_service& service, std::size_t count,
                seeded_random& random)
 {
@@ -57,7 +57,7 @@
 
 TEST(hops, are_bounded_in_any_mesh)
 {
-    // A walk over two chains, what it was led astray by, and a search.
+    // A walk over two chains, detours by stale redirects, and a search.
     constexpr std::size_t most_forwards = 60;
     constexpr std::uint64_t meshes = 10000;
     for (std::uint64_t seed = 0; seed < meshes; ++seed)
@@ -78,7 +78,8 @@
     }
 }
 
-// Half of them restarted: each such one may have the flow until it has tried.
+// Half of the agents restarted: each of them may have the flow until it has
+// tried its upstream.
 TEST(hops, and_messages_are_bounded_in_large_meshes)
 {
     constexpr std::size_t walked = 60;
--- a/packages/agent/test/cold_start_limiter_test.cpp
+++ b/packages/agent/test/cold_start_limiter_test.cpp
@@ -24,7 +24,7 @@
     return limiter;
 }
 
-// The most flows that came within any span of a second.
+// The highest number of flows within any span of a second.
 std::size_t most_in_a_second(const std::vector<time_point>& admitted)
 {
     std::size_t most = 0;
@@ -41,8 +41,7 @@
     return most;
 }
 
-// All back cold, ten times what one bears: no span of a second has more, and
-// what it bears is used.
+// At ten times the limit no span of a second exceeds it, and the limit is used.
 TEST(cold_start_limiter, bounds_each_span_of_a_second_under_any_load)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed)
@@ -129,7 +128,7 @@
     EXPECT_EQ(effects.refusals.back().told.outcome, verdict::not_run);
 }
 
-// Peers see that it has enough, before anything is turned away.
+// Peers see the full load before any caller is refused.
 TEST_F(cold_upstream, shows_its_bound_as_load)
 {
     for (std::uint16_t i = 0; i < limit; ++i)
@@ -148,7 +147,7 @@
     }
     advance(900ms);
     open(limit, true);
-    // A copy comes when there is room again.
+    // The caller retransmits when there is room again.
     EXPECT_TRUE(effects.refusals.empty());
     advance(200ms);
     open(limit, true);
--- a/packages/agent/test/evacuated_test.cpp
+++ b/packages/agent/test/evacuated_test.cpp
@@ -20,7 +20,7 @@
         handle(packet_arrived{sent, {}, answer_need::none, finishes});
     }
 
-    // A connection that both ends have closed.
+    // Opens a connection and closes it from both ends.
     void open_and_close(std::uint16_t number)
     {
         arrive(number, packet_role::opens);
@@ -42,8 +42,8 @@
     EXPECT_TRUE(core->owns(flow(1)));
 }
 
-// The agent remembers a closed connection for a while, and its caller may use
-// the same addresses for another one.
+// The agent keeps a closed connection for a while, and its caller may reuse the
+// same addresses for another one.
 TEST_F(evacuated, does_not_open_a_closed_connection_again)
 {
     open_and_close(1);
--- a/packages/agent/test/failure_test.cpp
+++ b/packages/agent/test/failure_test.cpp
@@ -72,7 +72,7 @@
     open(net, 50);
     net.kill_balancer(0);
     net.run(3s);
-    // An upstream speaks first on a flow that came through the dead balancer.
+    // The upstream sends first on a flow that came through the failed balancer.
     for (std::uint32_t flow = 0; flow < 50; ++flow)
     {
         const auto before = net.caller(flow).answered;
@@ -94,8 +94,8 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-// A host comes back under the same address as another upstream: nothing of an
-// old flow is delivered to it, whoever still thinks that it is the old one.
+// A host returns with another upstream at the same address: packets of earlier
+// flows are not delivered to it, even by nodes that don't know of the change.
 TEST(failure, another_upstream_at_the_same_address_gets_no_old_packet)
 {
     mesh net(defaults());
@@ -103,8 +103,8 @@
     const std::size_t dead = net.owners(0).front();
     net.kill_upstream(dead);
     net.revive_as_another(dead);
-    // Balancers learn of it within two seconds; until then they use the tag of
-    // the life before.
+    // Balancers learn of the change within two seconds; until then they use the
+    // tag of the earlier incarnation.
     for (int round = 0; round < 20; ++round)
     {
         for (std::uint32_t flow = 0; flow < 100; ++flow)
--- a/packages/agent/test/former_life_test.cpp
+++ b/packages/agent/test/former_life_test.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// The upstream beside the agent has started anew, and others still name the
-// life that it had before.
+// The upstream beside the agent has restarted, and other nodes still address
+// its former incarnation.
 class former_incarnation : public ::testing::Test, public agent_fixture
 {
 protected:
@@ -49,7 +49,7 @@
     handle(packet_arrived{
         named_by_former(1, packet_role::continues), {}, answer_need::required});
     EXPECT_TRUE(effects.delivered.empty());
-    // It is looked for at the others.
+    // The owner is looked for at the other agents.
     ASSERT_EQ(effects.forwards.size(), 1U);
     EXPECT_EQ(effects.forwards.front().header.pass, packet_pass::walk);
 }
@@ -78,8 +78,9 @@
     EXPECT_EQ(effects.forwards.front().to, address(1));
 }
 
-// Others name the former life again and again on the packet's way. It is met
-// once, at its own place in the order, and the packet goes on from there.
+// Other agents add the former incarnation repeatedly along the packet's path.
+// It is visited once, at its own position in the order, and the walk continues
+// from there.
 TEST_F(former_incarnation, a_walk_meets_it_once)
 {
     packet_header sent = named_by_former(1, packet_role::continues);
@@ -97,8 +98,8 @@
     EXPECT_NE(*internal::candidate_at(next, next.position), former());
 }
 
-// Who looks for a flow's owner need not wait for control to say that the former
-// life is over.
+// The search for an owner need not wait until control reports that the former
+// incarnation has ended.
 TEST_F(former_incarnation, has_no_flow_any_more_and_says_so)
 {
     const candidate asker = identity(1);
@@ -113,8 +114,8 @@
     EXPECT_EQ(told.flows[1].state, ownership::none);
 }
 
-// The upstream lived on, and this agent, which has just started, does not know
-// its name yet: the flow may be there.
+// The upstream was already running, and the agent, which has just started, does
+// not know its incarnation yet: the flow may be there.
 TEST_F(former_incarnation, is_not_answered_for_before_the_upstream_has_spoken)
 {
     handle(upstream_start_reported{time_point(), true, true});
--- a/packages/agent/test/full_of_work_test.cpp
+++ b/packages/agent/test/full_of_work_test.cpp
@@ -13,15 +13,16 @@
 
 using std::chrono::milliseconds;
 
-// The load after an outage on the users' platform: everybody who waited asks
-// at once, and new callers go on coming at 60% of what the upstream can do.
+// The load after an outage: all waiting callers ask at once, and new callers
+// keep arriving at 60% of the upstream's capacity.
 constexpr std::size_t waiting_callers = 90;
 constexpr duration run_time = milliseconds(35);
 constexpr duration caller_interval = milliseconds(15);
 constexpr duration played = std::chrono::seconds(6);
 constexpr std::uint32_t slots = 4;
 constexpr std::size_t upstream_queue = 16;
-// What callers do: copies of the opening packet, then a new try.
+// The times of a caller's copies of the opening packet; then it makes a new
+// attempt.
 constexpr duration copies[] = {milliseconds(0), milliseconds(200),
                                milliseconds(600)};
 constexpr duration retry_pause = milliseconds(100);
@@ -34,11 +35,12 @@
     std::size_t callers = 0;
     std::size_t in_aim = 0;
     std::size_t late = 0;
-    // Tries that the upstream itself turned away.
+    // Attempts that the upstream itself rejected.
     std::size_t shed = 0;
 };
 
-// One upstream with slots and a bounded queue behind the real admission.
+// Simulates one upstream with slots and a bounded queue behind the real
+// admission.
 class played_load
 {
 public:
@@ -74,7 +76,7 @@
     struct event
     {
         time_point at;
-        // When the caller asked first; of a run that ends, of its caller.
+        // The caller's first attempt; for the end of a run, that of its caller.
         time_point asked;
         int tries = 0;
         std::size_t copy = 0;
@@ -176,7 +178,7 @@
     outcome m_outcome;
 };
 
-// Late answers count for a third of those on time.
+// Late answers count for 0.3 of those in time.
 double worth(const outcome& got)
 {
     return (static_cast<double>(got.in_aim) +
--- a/packages/agent/test/mesh.cpp
+++ b/packages/agent/test/mesh.cpp
@@ -225,7 +225,7 @@
     return next;
 }
 
-// Each node knows the view at a time of its own, but views in their order.
+// Each node gets the view after a delay of its own, but views in their order.
 void mesh::publish()
 {
     const auto next = view();
--- a/packages/agent/test/mesh.hpp
+++ b/packages/agent/test/mesh.hpp
@@ -15,25 +15,27 @@
 namespace crowlink::test
 {
 
-// How the network of a mesh behaves.
+// The behaviour of a mesh's network.
 struct mesh_settings
 {
     std::uint32_t upstreams = 7;
     std::uint32_t balancers = 3;
     double loss = 0.0;
-    // One way between hosts; drawn evenly, so packets overtake each other.
+    // The one-way delay between hosts; drawn uniformly, so that packets
+    // overtake each other.
     duration least_delay = std::chrono::microseconds(300);
     duration most_delay = std::chrono::milliseconds(3);
-    // How much later than control a node may know a view.
+    // The maximum delay after which a node knows a view.
     duration most_lag = std::chrono::seconds(2);
     service declared;
     agent_settings agents;
     std::uint64_t seed = 1;
 };
 
-// Several agents with fake upstreams, balancers that know only their views,
-// and callers, over a network in memory. Beside them a naive reference with
-// full knowledge: one table from flow to the upstream that first ran it.
+// Several agents with fake upstreams, balancers that know only their views, and
+// callers, over an in-memory network. They are compared with a naive reference
+// with full knowledge: one table from each flow to the upstream that first ran
+// it.
 class mesh
 {
 public:
@@ -52,33 +54,34 @@
     time_point now() const { return m_now; }
     void run(duration time);
 
-    // A caller's datagram of a flow, with a number of its own.
+    // Sends a caller's datagram of a flow, with a request number of its own,
+    // and returns the number.
     std::uint32_t call(std::uint32_t flow, packet_role role = packet_role::any);
     static flow_key key(std::uint32_t flow);
     const caller_state& caller(std::uint32_t flow) { return m_callers[flow]; }
 
-    // Planned changes; each is told to the nodes at times of their own.
+    // Planned changes; nodes learn of each after different delays.
     std::size_t join();
     void drain(std::size_t index, bool on);
     void leave(std::size_t index);
     void reweigh(std::size_t index, std::uint32_t weight);
-    // Ends an upstream that drains and has no flow left.
+    // Ends a draining upstream that has no flow left.
     void retire_if_idle(std::size_t index);
-    // The agent starts anew beside its upstream, which lives on.
+    // Restarts the agent beside its running upstream.
     void restart_agent(std::size_t index);
     void replace_balancer(std::size_t index);
-    // A balancer dies without notice.
+    // Ends a balancer without notice.
     void kill_balancer(std::size_t index);
-    // Unplanned ones.
+    // Unplanned changes.
     void kill_upstream(std::size_t index);
-    // Another upstream comes up under the address of a dead one.
+    // Starts another upstream at the address of a failed one.
     void revive_as_another(std::size_t index);
     void set_answering(std::size_t index, bool on);
-    // Control does not hear an agent any more, nor is it told of views. Its
-    // lease has run out for all others; it serves on, unless it is dead.
+    // Control no longer hears the agent and sends it no views. Its lease has
+    // expired for all others; it continues to serve unless it is dead.
     void cut_from_control(std::size_t index, bool is_dead);
     void return_to_control(std::size_t index);
-    // The upstream that has a flow speaks first.
+    // Sends a packet from the upstream that has the flow.
     void push(std::uint32_t flow);
 
     std::size_t nodes() const { return m_nodes.size(); }
@@ -89,11 +92,11 @@
         return m_nodes[node].record;
     }
     std::vector<std::size_t> owners(std::uint32_t flow);
-    // Whether an upstream ran this request; from its own record.
+    // Whether an upstream ran this request, by the upstream's own record.
     bool ran(std::uint32_t request) const;
 
-    // Packets that reached another upstream than their flow's first one, by
-    // the reference, and packets of a flow at an upstream of a later life.
+    // Packets that reached another upstream than the reference has for their
+    // flow, or a later incarnation of it.
     std::uint64_t misplaced = 0;
     std::uint64_t forwards = 0;
     std::uint64_t messages = 0;
@@ -157,11 +160,11 @@
     std::vector<member_node> m_nodes;
     std::vector<std::uint64_t> m_life;
     std::vector<balancer> m_balancers;
-    // Balancers that drain pass answers on for some time yet.
+    // Draining balancers, which still forward answers until the given times.
     std::map<endpoint, time_point> m_retired;
     std::map<std::uint32_t, caller_state> m_callers;
     std::map<flow_key, std::uint32_t> m_numbers;
-    // The reference: where each flow was first run, and in which life.
+    // The reference: the upstream and the incarnation that first ran each flow.
     std::map<flow_key, std::pair<std::size_t, std::uint64_t>> m_reference;
 };
 
--- a/packages/agent/test/mesh_changes.cpp
+++ b/packages/agent/test/mesh_changes.cpp
@@ -47,7 +47,7 @@
 
 void mesh::replace_balancer(std::size_t index)
 {
-    // The new one starts with what control knows now, and no table before it.
+    // The replacement starts with the present view and has no earlier table.
     balancer& here = m_balancers[index];
     m_retired[here.address] = m_now + 2 * m_settings.most_lag;
     here.address.port = static_cast<std::uint16_t>(here.address.port + 1);
--- a/packages/agent/test/mesh_effects.hpp
+++ b/packages/agent/test/mesh_effects.hpp
@@ -16,7 +16,7 @@
     return number;
 }
 
-// Carries an agent's effects into the mesh.
+// Carries out an agent's effects in the mesh.
 struct mesh::node_effects
 {
     mesh& net;
--- a/packages/agent/test/owner_search_test.cpp
+++ b/packages/agent/test/owner_search_test.cpp
@@ -122,7 +122,7 @@
     search.add(start, packet_of(1), {}, false);
     (void)search.ask(start, much_room, members(3));
     deny_all(search, 1, members(2));
-    // The third one ended, and a fourth one is known now.
+    // The third member has ended, and a fourth one is known.
     std::vector<candidate> later = members(4);
     later.erase(later.begin() + 2);
     const time_point next = start + search_times().round;
--- a/packages/agent/test/ownership_test.cpp
+++ b/packages/agent/test/ownership_test.cpp
@@ -47,14 +47,14 @@
     EXPECT_TRUE(one.effects.delivered.empty());
     EXPECT_EQ(one.core->counts().wrong_service, 1U);
     EXPECT_EQ(one.core->counts().wrong_tag, 1U);
-    // The same of a flow that the agent has.
+    // The same packets for a flow that the agent has.
     one.call(1);
     one.handle(packet_arrived{other, {}});
     one.handle(packet_arrived{past, {}});
     EXPECT_EQ(one.effects.delivered.size(), 1U);
 }
 
-// The agent of lower tag compares; rivals of both sorts are met.
+// The agent with the lower tag compares; both orders of tags occur.
 TEST(ownership, of_two_owners_the_later_one_yields)
 {
     bool met_lower = false;
@@ -70,7 +70,7 @@
         EXPECT_EQ(one.core->owns(agent_fixture::flow(1)), !compares);
         if (!compares)
         {
-            // The other one compares, and says what came of it.
+            // The other agent compares, and reports the result.
             one.tell(claim(one, 1, owned_flow::decided, rival));
         }
         EXPECT_FALSE(one.core->owns(agent_fixture::flow(1)));
@@ -116,8 +116,8 @@
     EXPECT_TRUE(one.core->owns(agent_fixture::flow(2)));
 }
 
-// The owner that a redirect names does not know the flow: its packet comes
-// back, and the flow is placed anew.
+// The owner that a redirect names does not know the flow: its packet returns,
+// and the flow is placed again.
 TEST(ownership, a_stale_redirect_is_forgotten_when_its_packet_returns)
 {
     agent_fixture one(3);
@@ -170,8 +170,9 @@
     EXPECT_EQ(one.core->counts().redirects_published, 2U * flows);
 }
 
-// While it may take flows up again, an agent doesn't take up what ends one,
-// and while it leaves, of datagrams only what a redirect sent to it.
+// During the adoption time an agent does not adopt flows for resetting packets,
+// and while it leaves, it adopts flows of datagrams only if a redirect led to
+// it.
 TEST(ownership, adoption_leaves_alone_what_can_be_no_old_flow)
 {
     agent_fixture one(3);
--- a/packages/agent/test/planned_change_test.cpp
+++ b/packages/agent/test/planned_change_test.cpp
@@ -19,7 +19,8 @@
     return settings;
 }
 
-// Calls of long flows, each now and then, and of short ones that come anew.
+// Requests on long flows at random times, and on short flows that open
+// continually.
 class workload
 {
 public:
@@ -39,8 +40,8 @@
                     m_net.call(flow);
                 }
             }
-            // A new flow's first datagrams come at once, through balancers
-            // that may know different tables.
+            // The first datagrams of a new flow arrive together, through
+            // balancers that may know different tables.
             const std::uint32_t opened = m_next++;
             m_net.call(opened);
             m_net.call(opened);
@@ -62,7 +63,7 @@
     seeded_random m_random;
 };
 
-// One change of the planned kinds, drawn at random.
+// Makes one planned change, drawn at random.
 void change(mesh& net, seeded_random& random)
 {
     std::vector<std::size_t> ready;
@@ -140,8 +141,8 @@
     EXPECT_GT(net.total().redirected, 0U);
 }
 
-// Upstreams are replaced one after another while agents restart beside
-// upstreams that live on; those that drain leave once their flows are over.
+// Upstreams are replaced one after another while agents restart beside running
+// upstreams; draining upstreams end when their flows have ended.
 TEST_P(planned_change, rolling_replacement_and_agent_restarts_break_no_flow)
 {
     mesh_settings settings = defaults(GetParam());
@@ -169,8 +170,8 @@
     EXPECT_GT(net.total().adopted, 0U);
 }
 
-// With one packet in a hundred lost, and messages between agents as well, no
-// flow gets a second owner; lost are only packets.
+// With one percent of packets and of messages between agents lost, no flow gets
+// a second owner; only packets are lost.
 TEST_P(planned_change, lost_packets_double_no_flow)
 {
     mesh_settings settings = defaults(GetParam());
--- a/packages/agent/test/recording_effects.hpp
+++ b/packages/agent/test/recording_effects.hpp
@@ -10,7 +10,7 @@
 namespace crowlink::test
 {
 
-// Effects that only remember what they were told; for tests of one agent.
+// Effects that are only recorded, for tests of a single agent.
 class recording_effects
 {
 public:
--- a/packages/agent/test/refusal_test.cpp
+++ b/packages/agent/test/refusal_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// What was refused as "not run" is in no upstream's own record.
+// Requests refused as "not run" are in no upstream's own record.
 TEST(refusal, not_run_holds_against_the_upstreams_record)
 {
     mesh net(small(5));
@@ -46,12 +46,13 @@
             ++refused;
         }
     }
-    // Seven upstreams of five places, not all of which each chain reaches.
+    // Seven upstreams with five connections each, not all of which every chain
+    // reaches.
     EXPECT_GE(refused, 165U);
     EXPECT_LE(refused, 175U);
 }
 
-// From the moment that an agent knows of its leaving, no new flow comes in.
+// As soon as an agent knows that it leaves, it admits no new flow.
 TEST(refusal, a_leaving_upstream_gets_no_new_flow_and_keeps_its_own)
 {
     mesh net(small(2000));
--- a/packages/agent/test/returned_test.cpp
+++ b/packages/agent/test/returned_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// A connection's packet with three candidates, this agent first.
+// A packet of a connection with three candidates, this agent first.
 packet_header three_candidates(const agent_fixture& fixture, packet_role role)
 {
     packet_header made = fixture.header(1);
@@ -39,7 +39,7 @@
 {
     agent_fixture fixture(3);
     packet_header opens = three_candidates(fixture, packet_role::opens);
-    // The second one was asked first; the third one came after it.
+    // The second candidate was asked first, and the third after it.
     opens.pass = packet_pass::place;
     opens.best = 1;
     opens.position = 0;
@@ -49,7 +49,7 @@
     EXPECT_EQ(fixture.effects.refusals[0].told.outcome, verdict::not_run);
 }
 
-// Agents that restarted together each take up what may be theirs.
+// Agents that restarted together each adopt flows that may be theirs.
 TEST(returned, a_flow_that_was_taken_up_wrongly_is_looked_for_elsewhere)
 {
     agent_fixture fixture(3);
@@ -61,7 +61,7 @@
     fixture.effects.sent.clear();
     fixture.handle(packet_returned{later, {}});
     EXPECT_FALSE(fixture.core->owns(later.flow));
-    // The walk is over: each other member is asked.
+    // The walk has ended: every other member is asked.
     std::vector<endpoint> asked;
     for (const auto& [to, message] : fixture.effects.sent)
     {
@@ -75,7 +75,7 @@
     std::sort(asked.begin(), asked.end());
     EXPECT_EQ(asked, (std::vector{agent_fixture::address(1),
                                   agent_fixture::address(2)}));
-    // The next packet is not taken up here again.
+    // The next packet does not make the agent adopt the flow again.
     fixture.handle(packet_arrived{later, {}});
     EXPECT_FALSE(fixture.core->owns(later.flow));
 }
--- a/packages/agent/test/search_test.cpp
+++ b/packages/agent/test/search_test.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint16_t flow_number = 9;
 constexpr std::chrono::milliseconds until_repeated(200);
 
-// All hosts lost power: the flow's upstream is gone, and the caller would wait
-// for its own deadline.
+// All hosts lost power: the flow's upstream has ended, and the caller would
+// wait for its own timeout.
 TEST(search, a_caller_whose_flow_nobody_has_is_reset_at_once)
 {
     searched_service service;
@@ -36,7 +36,7 @@
     EXPECT_TRUE(service.delivered.empty());
 }
 
-// The owner is beyond the chains, and its agent has forgotten the flow.
+// The owner is outside the chains, and its agent has lost its flow table.
 TEST(search, finds_a_flow_wherever_it_is_after_all_agents_restarted)
 {
     for (std::size_t owner = 0; owner < members; ++owner)
@@ -74,7 +74,7 @@
     }
     service.send(flow_number);
     EXPECT_EQ(service.resets, 0U);
-    // The caller's packet waited: its next copy may be far off.
+    // The caller's packet was held: its next retransmission may be far off.
     service.pass(std::chrono::seconds(5));
     EXPECT_EQ(service.resets, 1U);
 }
@@ -132,7 +132,8 @@
 {
     searched_service service;
     const std::uint32_t bound = agent_settings().questions_per_tick;
-    // One agent begins all of them.
+    // With this many flows at least one agent starts more searches than its
+    // bound.
     std::uint16_t begun = 0;
     for (std::uint16_t flow = 1; begun <= members * bound; ++flow, ++begun)
     {
@@ -150,7 +151,7 @@
 constexpr std::chrono::seconds long_ago(11);
 constexpr std::uint16_t lost_flows = 200;
 
-// All questions are sent within this, at 64 a tick.
+// All questions are sent within this time, at 64 a tick.
 duration time_to_ask(std::size_t count)
 {
     constexpr std::size_t questions_a_step = 64;
@@ -167,8 +168,9 @@
     EXPECT_TRUE(service.delivered.empty());
 }
 
-// One packet of each flow, as after a loss of all power. A packet that went
-// round all members took as many whole packets for each flow: 32,600 with 163.
+// One packet of each flow, as after a power failure. Forwarding a packet to
+// each member in turn took as many whole packets for each flow: 32,600 with 163
+// members.
 TEST_P(search_in, many_lost_flows_share_what_is_asked)
 {
     searched_service service(long_ago, GetParam());
@@ -183,7 +185,7 @@
     const std::size_t questions =
         1 + lost_flows / heads / owner_question::max_flows;
     EXPECT_LE(service.messages, 2 * rounds * questions * heads * GetParam());
-    // Each goes along two chains at most.
+    // Each packet follows at most two chains.
     EXPECT_LE(service.forwards, std::size_t{8} * lost_flows);
 }
 
@@ -200,8 +202,8 @@
     EXPECT_FALSE(service.delivered.empty());
 }
 
-// Their agents restarted with them, and took them for ones that lived on: each
-// flow was tried at each of them.
+// The agents restarted together with their upstreams and took them for running
+// ones: each flow was tried at each of them.
 TEST_P(search_in, upstreams_that_have_just_started_are_hardly_tried)
 {
     searched_service service(long_ago, GetParam());
--- a/packages/agent/test/searched_service.hpp
+++ b/packages/agent/test/searched_service.hpp
@@ -10,8 +10,8 @@
 namespace crowlink::test
 {
 
-// All agents of a service, each with an upstream that returns what it does not
-// hold. Packets go from one to the next at once.
+// All agents of a service, each with an upstream that returns packets of flows
+// that it does not hold. Packets are forwarded without delay.
 class searched_service
 {
 public:
@@ -28,7 +28,7 @@
         {
             m_view->members.push_back(agent_fixture::member(i));
         }
-        // As views are: by name.
+        // Views list their members by name.
         std::sort(m_view->members.begin(), m_view->members.end(),
                   [](const upstream_record& one, const upstream_record& two)
                   { return one.id < two.id; });
@@ -39,7 +39,7 @@
         pass(age);
     }
 
-    // The agent starts anew, beside an upstream that lived on or a new one.
+    // Restarts the agent, beside a running upstream or a new one.
     void restart(std::size_t index, bool was_running,
                  bool has_just_started = false)
     {
@@ -84,7 +84,8 @@
         }
     }
 
-    // A caller's packet, handed to the head of the flow's chain by a balancer.
+    // Sends a caller's packet to the head of the flow's chain, as a balancer
+    // does.
     void send(std::uint16_t number,
               const candidate_chain& previous = candidate_chain())
     {
@@ -100,7 +101,7 @@
         arrive(made.current[0].agent, made);
     }
 
-    // The agent was told, some time ago, that the flow is with another one.
+    // Gives the agent a redirect of the flow to another agent.
     void tell(std::size_t index, std::size_t owner, std::uint16_t number)
     {
         flow_key flow = agent_fixture::flow(number);
@@ -123,7 +124,7 @@
         return sum;
     }
 
-    // The upstream holds the flow, whatever its agent knows.
+    // Makes the upstream hold the flow, whether or not its agent knows it.
     void hold(std::size_t index, std::uint16_t number)
     {
         flow_key flow = agent_fixture::flow(number);
@@ -131,7 +132,8 @@
         m_held[flow] = index;
     }
 
-    // The last member that a search for the flow meets has no later one.
+    // The member that gets no packets or messages; the number of members if
+    // there is none.
     std::size_t cut_off;
     std::size_t resets = 0;
     // Packets that reached an upstream which does not hold their flow.
@@ -175,8 +177,8 @@
         }
     }
 
-    // Loads and redirects are left out: what agents know of flows is what the
-    // test told them.
+    // Loads and redirects are dropped: agents know only the redirects that the
+    // test gives them.
     void tell_peer(std::size_t from, const endpoint& to,
                    const peer_message& message)
     {
--- a/packages/agent/test/shedding_test.cpp
+++ b/packages/agent/test/shedding_test.cpp
@@ -29,7 +29,8 @@
     }
     monitor.assess(start + 5s, false, 10s);
     EXPECT_NEAR(monitor.share(), 550000, 1000);
-    // Time alone does not warm an upstream that is asked and never answers.
+    // Time alone does not warm up an upstream that gets requests and never
+    // answers.
     internal::progress_monitor unanswering(2s, start);
     unanswering.assess(start + 60s, true, 10s);
     EXPECT_EQ(unanswering.share(), full_share / 10);
@@ -50,7 +51,7 @@
     }
     EXPECT_TRUE(monitor.wants_to_shed());
     EXPECT_LE(monitor.share(), full_share / 8);
-    // Hysteresis: the first sign of life doesn't end it, more do.
+    // Hysteresis: the first answer does not end shedding, several do.
     monitor.progressed(now);
     monitor.assess(now, true, 10s);
     EXPECT_TRUE(monitor.wants_to_shed());
@@ -93,7 +94,7 @@
             }
         }
         EXPECT_EQ(one.core->sheds(one.now), granted);
-        // The first one is the trial; the second shows the difference.
+        // The first flow is the trial; the second shows the difference.
         one.call(2);
         one.call(3);
         EXPECT_TRUE(one.core->owns(agent_fixture::flow(2)));
--- a/packages/agent/test/silence_test.cpp
+++ b/packages/agent/test/silence_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// Another flow of the same upstream gets its answers, for so many seconds.
+// Answers another flow of the same upstream for this many seconds.
 void others_progress(agent_fixture& one, int seconds)
 {
     for (int i = 0; i < seconds; ++i)
@@ -51,8 +51,8 @@
     EXPECT_EQ(one.effects.caller_resets.size(), 1U);
 }
 
-// A shelf feed: the caller acknowledged a few items and waits, as the upstream
-// has nothing to say for an hour.
+// A quiet stream: the caller has acknowledged a few items and waits, as the
+// upstream has nothing to send for an hour.
 TEST(silence, a_quiet_feed_is_left_alone)
 {
     agent_fixture one(3);
--- a/packages/agent/test/silent_member_query_test.cpp
+++ b/packages/agent/test/silent_member_query_test.cpp
@@ -15,7 +15,7 @@
 
 const time_point start{1h};
 constexpr std::size_t much_room = 100;
-// By then nobody who has not answered is waited for.
+// The wait for members that have not answered ends after this time.
 constexpr duration waited = 150ms;
 
 packet_header packet_of(std::uint16_t flow)
@@ -70,7 +70,7 @@
 TEST_F(asked_members, are_waited_for_no_longer_than_callers_wait)
 {
     ASSERT_TRUE(add(start, 1));
-    // Another copy makes the wait no longer.
+    // A retransmission does not prolong the wait.
     ASSERT_TRUE(add(start + 100ms, 1));
     EXPECT_EQ(m_silent_query.take_unowned(start + waited).size(), 1U);
 }
--- a/packages/agent/test/silent_owner_test.cpp
+++ b/packages/agent/test/silent_owner_test.cpp
@@ -54,8 +54,8 @@
 
 } // namespace
 
-// The lease of an upstream that is cut off from control runs out, while its
-// flows go on.
+// The lease of an upstream that is cut off from control expires while its flows
+// continue.
 TEST(silent_owner, is_still_sent_the_packets_of_its_flows)
 {
     agent_fixture fixture(2);
@@ -75,7 +75,7 @@
     EXPECT_FALSE(is_sent_to_owner(fixture));
 }
 
-// Nothing comes back from the whole data centre: there is nothing to wait for.
+// The whole data centre is unreachable: no answer can be expected.
 TEST(silent_owner, a_caller_of_one_that_is_given_up_is_reset_at_once)
 {
     agent_fixture fixture(2);
@@ -145,7 +145,7 @@
     EXPECT_TRUE(fixture.effects.caller_resets.empty());
 }
 
-// A request in two packets, of which the first one is repeated.
+// A request in two packets, the first of which is retransmitted.
 TEST(silent_owner, a_copy_of_the_first_of_several_packets_is_a_repeat)
 {
     agent_fixture fixture(2);
@@ -175,7 +175,7 @@
     EXPECT_TRUE(fixture.effects.caller_resets.empty());
 }
 
-// An owner that was the head itself has told nobody of its flows.
+// An owner that was the head itself has published no redirects of its flows.
 TEST(silent_owner, is_asked_for_flows_that_nobody_knows)
 {
     agent_fixture fixture(2);
--- a/packages/agent/test/tag_test.cpp
+++ b/packages/agent/test/tag_test.cpp
@@ -7,7 +7,7 @@
 namespace crowlink::test
 {
 
-// Names and incarnations that differ in few bits, as those of one deployment.
+// Names and incarnations that differ in few bits, as within one deployment.
 TEST(tag, of_short_names_and_near_incarnations_differ)
 {
     std::set<upstream_tag> tags;
--- a/packages/agent/test/unheard_owner_test.cpp
+++ b/packages/agent/test/unheard_owner_test.cpp
@@ -1,5 +1,5 @@
-// Flows of datagrams at an upstream whose agent control does not hear, and
-// which serves on; all agents together.
+// Flows of datagrams at an upstream whose agent control does not hear and that
+// still serves them, in a mesh of agents.
 
 #include "mesh.hpp"
 
@@ -80,7 +80,7 @@
     EXPECT_EQ(answered(0, flows), 2 * flows);
 }
 
-// The tables that named it are forgotten by then.
+// The tables that listed the owner have expired by then.
 TEST_P(unheard_owner, keeps_flows_that_were_quiet_for_long)
 {
     m_net.cut_from_control(lost, false);
@@ -91,7 +91,7 @@
     EXPECT_EQ(answered(0, flows), 2 * flows);
 }
 
-// Those that were asked when it opened still know where it was sent.
+// The candidates that were asked when the flow opened still have its hints.
 TEST_P(unheard_owner, keeps_flows_that_have_just_opened)
 {
     call_all(flows, flows);
@@ -104,7 +104,7 @@
     EXPECT_EQ(answered(flows, flows), 2 * flows);
 }
 
-// It tells the head, which sends it the flow's next datagrams itself.
+// The owner notifies the head, which then sends the flow's datagrams directly.
 TEST_P(unheard_owner, is_asked_for_each_flow_once)
 {
     m_net.cut_from_control(lost, false);
--- a/packages/agent/test/upstream_tracker_test.cpp
+++ b/packages/agent/test/upstream_tracker_test.cpp
@@ -207,8 +207,8 @@
     EXPECT_EQ(life.status()->returns, 0U);
 }
 
-// All hosts lost power: the upstream was up before its agent, and nobody
-// answered its first words.
+// After a power failure of all hosts: the upstream started before its agent,
+// and its first announcements got no answer.
 TEST(upstream_tracker, one_that_has_hardly_spoken_has_just_started)
 {
     upstream_tracker life(silence_timeout);
@@ -235,7 +235,7 @@
     EXPECT_FALSE(life.status()->has_just_started());
     ASSERT_TRUE(life.announce(start + 1s, told("i-1", 3)));
     EXPECT_TRUE(life.status()->has_just_started());
-    // Later words change nothing of when it was heard first.
+    // Later announcements don't change the sequence that was heard first.
     ASSERT_TRUE(life.announce(start + 2s, told("i-1", 30)));
     EXPECT_EQ(life.status()->first_heard, 3U);
 }
