--- a/packages/agent/test/agent_fixture.hpp
+++ b/packages/agent/test/agent_fixture.hpp
@@ -97,7 +97,7 @@
         handle(upstream_answered{answered, {}});
     }
 
-    void tell(const peer_message& message)
+    void deliver_message(const peer_message& message)
     {
         const endpoint from = address(1);
         handle(message_arrived{from, message});
--- a/packages/agent/test/bounded_hops_test.cpp
+++ b/packages/agent/test/bounded_hops_test.cpp
@@ -17,14 +17,14 @@
 constexpr std::uint16_t flow_number = 9;
 
 // All agents hold a redirect to an owner that has lost the flow.
-TEST(hops, what_agents_were_told_of_a_lost_flow_leads_to_a_reset)
+TEST(packet_forwarding, redirects_to_an_owner_that_lost_the_flow_end_in_a_reset)
 {
     for (std::size_t owner = 0; owner < members; ++owner)
     {
         searched_service service;
         for (std::size_t index = 0; index < members; ++index)
         {
-            service.tell(index, owner, flow_number);
+            service.deliver_redirect(index, owner, flow_number);
         }
         service.send(flow_number);
         EXPECT_EQ(service.too_many_hops(), 0U) << owner;
@@ -34,8 +34,8 @@
 
 // Draws the redirects that agents hold, the agents that restarted, and whether
 // an upstream holds the flow.
-void draw_past(searched_service& service, std::size_t count,
-               seeded_random& random)
+void randomize_history(searched_service& service, std::size_t count,
+                       seeded_random& random)
 {
     if (random() % 2 == 0)
     {
@@ -51,26 +51,27 @@
     const std::size_t told = random() % (2 * members);
     for (std::size_t each = 0; each < told; ++each)
     {
-        service.tell(random() % count, random() % count, flow_number);
+        service.deliver_redirect(random() % count, random() % count,
+                                 flow_number);
     }
 }
 
-TEST(hops, are_bounded_in_any_mesh)
+TEST(packet_forwarding, hops_are_bounded_for_any_redirects_and_restarts)
 {
     // A walk over two chains, detours by stale redirects, and a search.
-    constexpr std::size_t most_forwards = 60;
+    constexpr std::size_t max_forwards = 60;
     constexpr std::uint64_t meshes = 10000;
     for (std::uint64_t seed = 0; seed < meshes; ++seed)
     {
         seeded_random random(seed);
         searched_service service(std::chrono::seconds(20));
-        draw_past(service, members, random);
+        randomize_history(service, members, random);
         for (int copy = 0; copy < 3; ++copy)
         {
             service.forwards = 0;
             service.messages = 0;
             service.send(flow_number);
-            ASSERT_LE(service.forwards, most_forwards) << "seed " << seed;
+            ASSERT_LE(service.forwards, max_forwards) << "seed " << seed;
             ASSERT_LE(service.messages, 3 * members) << "seed " << seed;
             service.pass(std::chrono::milliseconds(200));
         }
@@ -80,18 +81,18 @@
 
 // Half of the agents restarted: each of them may have the flow until it has
 // tried its upstream.
-TEST(hops, and_messages_are_bounded_in_large_meshes)
+TEST(packet_forwarding, forwards_and_messages_are_bounded_with_many_members)
 {
-    constexpr std::size_t walked = 60;
-    constexpr std::size_t members_in_all = 4000;
+    constexpr std::size_t walk_forwards = 60;
+    constexpr std::size_t total_members = 4000;
     constexpr std::chrono::seconds settled(11);
     for (const std::size_t count : {std::size_t{163}, std::size_t{1000}})
     {
-        for (std::uint64_t seed = 0; seed < members_in_all / count; ++seed)
+        for (std::uint64_t seed = 0; seed < total_members / count; ++seed)
         {
             seeded_random random(seed);
             searched_service service(settled, count);
-            draw_past(service, count, random);
+            randomize_history(service, count, random);
             service.forwards = 0;
             service.messages = 0;
             service.send(flow_number);
@@ -100,7 +101,7 @@
                           std::min<std::size_t>(service.delivered.size(), 1),
                       1U)
                 << count << " members, seed " << seed;
-            EXPECT_LE(service.forwards, walked + count);
+            EXPECT_LE(service.forwards, walk_forwards + count);
             EXPECT_LE(service.messages, 6 * count);
             EXPECT_EQ(service.too_many_hops(), 0U);
         }
--- a/packages/agent/test/cold_start_limiter_test.cpp
+++ b/packages/agent/test/cold_start_limiter_test.cpp
@@ -42,7 +42,7 @@
 }
 
 // At ten times the limit no span of a second exceeds it, and the limit is used.
-TEST(cold_start_limiter, bounds_each_span_of_a_second_under_any_load)
+TEST(cold_start_limiter, limits_every_one_second_span_under_overload)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed)
     {
@@ -65,7 +65,7 @@
     }
 }
 
-TEST(cold_start_limiter, a_warm_upstream_has_no_bound)
+TEST(cold_start_limiter, does_not_limit_a_warm_upstream)
 {
     time_point now{1h};
     cold_start_limiter limiter = cold_for(now, 2s);
@@ -80,7 +80,7 @@
     EXPECT_EQ(limiter.used(now + 2s), 0U);
 }
 
-TEST(cold_start_limiter, a_service_that_tells_no_bound_has_none)
+TEST(cold_start_limiter, does_not_limit_without_a_declared_limit)
 {
     const time_point now{1h};
     cold_start_limiter limiter;
@@ -89,8 +89,7 @@
     EXPECT_TRUE(limiter.allows(now));
 }
 
-TEST(cold_start_limiter,
-     an_agent_that_starts_beside_a_cold_upstream_waits_a_second)
+TEST(cold_start_limiter, allows_nothing_for_a_second_after_unknown_history)
 {
     const time_point now{1h};
     cold_start_limiter limiter = cold_for(now, 5s);
@@ -117,7 +116,7 @@
     }
 };
 
-TEST_F(cold_upstream, gets_what_it_bears_and_no_more)
+TEST_F(cold_upstream, admits_up_to_the_limit_and_refuses_the_rest)
 {
     for (std::uint16_t i = 0; i < 3 * limit; ++i)
     {
@@ -129,7 +128,7 @@
 }
 
 // Peers see the full load before any caller is refused.
-TEST_F(cold_upstream, shows_its_bound_as_load)
+TEST_F(cold_upstream, reports_full_load_at_the_limit)
 {
     for (std::uint16_t i = 0; i < limit; ++i)
     {
@@ -139,7 +138,7 @@
     EXPECT_GE(core->load(), 1'000'000U);
 }
 
-TEST_F(cold_upstream, is_not_given_more_by_callers_that_repeat_themselves)
+TEST_F(cold_upstream, defers_retransmitting_callers_until_there_is_room)
 {
     for (std::uint16_t i = 0; i < limit; ++i)
     {
--- a/packages/agent/test/evacuated_test.cpp
+++ b/packages/agent/test/drained_upstream_test.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-class evacuated : public ::testing::Test, public agent_fixture
+class drained_upstream : public ::testing::Test, public agent_fixture
 {
 protected:
-    evacuated() : agent_fixture(3) {}
+    drained_upstream() : agent_fixture(3) {}
 
     void arrive(std::uint16_t number, packet_role role, bool finishes = false)
     {
@@ -30,7 +30,7 @@
     }
 };
 
-TEST_F(evacuated, keeps_its_flows_and_takes_no_new_one)
+TEST_F(drained_upstream, keeps_open_flows_and_admits_no_new_one)
 {
     arrive(1, packet_role::opens);
     set_drained(true);
@@ -44,7 +44,7 @@
 
 // The agent keeps a closed connection for a while, and its caller may reuse the
 // same addresses for another one.
-TEST_F(evacuated, does_not_open_a_closed_connection_again)
+TEST_F(drained_upstream, does_not_reopen_a_closed_connection)
 {
     open_and_close(1);
     open_and_close(2);
--- a/packages/agent/test/failure_test.cpp
+++ b/packages/agent/test/failure_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST(failure, of_an_upstream_is_told_at_once_and_moves_no_other_flow)
+TEST(failure, upstream_failure_resets_its_callers_and_moves_no_other_flow)
 {
     mesh net(defaults());
     open(net, 100);
@@ -66,7 +66,7 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-TEST(failure, of_a_balancer_breaks_no_flow_and_answers_find_another)
+TEST(failure, balancer_failure_breaks_no_flow_and_answers_use_another)
 {
     mesh net(defaults());
     open(net, 50);
@@ -76,7 +76,7 @@
     for (std::uint32_t flow = 0; flow < 50; ++flow)
     {
         const auto before = net.caller(flow).answered;
-        net.push(flow);
+        net.send_from_upstream(flow);
         EXPECT_EQ(net.caller(flow).answered, before + 1) << flow;
     }
     for (int round = 0; round < 20; ++round)
@@ -96,13 +96,13 @@
 
 // A host returns with another upstream at the same address: packets of earlier
 // flows are not delivered to it, even by nodes that don't know of the change.
-TEST(failure, another_upstream_at_the_same_address_gets_no_old_packet)
+TEST(failure, new_upstream_at_the_same_address_gets_no_earlier_packet)
 {
     mesh net(defaults());
     open(net, 100);
     const std::size_t dead = net.owners(0).front();
     net.kill_upstream(dead);
-    net.revive_as_another(dead);
+    net.start_new_incarnation(dead);
     // Balancers learn of the change within two seconds; until then they use the
     // tag of the earlier incarnation.
     for (int round = 0; round < 20; ++round)
@@ -117,7 +117,7 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-TEST(failure, a_restarted_agent_adopts_tcp_flows_that_its_upstream_still_knows)
+TEST(failure, restarted_agent_adopts_the_tcp_flows_of_its_upstream)
 {
     mesh net(defaults());
     net.run(12s);
@@ -144,7 +144,7 @@
     EXPECT_EQ(net.total().unknown_flows, 0U);
 }
 
-TEST(failure, packets_of_a_tcp_flow_that_nobody_knows_are_reset)
+TEST(failure, unknown_tcp_flows_are_reset)
 {
     mesh net(defaults());
     net.run(12s);
--- a/packages/agent/test/former_life_test.cpp
+++ b/packages/agent/test/former_incarnation_test.cpp
@@ -26,7 +26,8 @@
             tag_of(record.id, incarnation(record.started.value() - 1))};
     }
 
-    packet_header named_by_former(std::uint16_t number, packet_role role) const
+    packet_header header_for_former(std::uint16_t number,
+                                    packet_role role) const
     {
         packet_header sent = header(number);
         sent.role = role;
@@ -36,18 +37,20 @@
     }
 };
 
-TEST_F(former_incarnation, a_flow_that_opens_is_served_by_the_present_one)
+TEST_F(former_incarnation,
+       opening_packet_for_it_is_delivered_to_the_present_one)
 {
-    handle(packet_arrived{named_by_former(1, packet_role::opens), {}});
+    handle(packet_arrived{header_for_former(1, packet_role::opens), {}});
     EXPECT_EQ(effects.delivered.size(), 1U);
     EXPECT_TRUE(core->owns(flow(1)));
     EXPECT_EQ(core->counts().wrong_tag, 0U);
 }
 
-TEST_F(former_incarnation, an_old_flow_is_not_taken_for_one_of_the_present_one)
+TEST_F(former_incarnation, packet_of_its_flow_starts_an_owner_lookup)
 {
-    handle(packet_arrived{
-        named_by_former(1, packet_role::continues), {}, answer_need::required});
+    handle(packet_arrived{header_for_former(1, packet_role::continues),
+                          {},
+                          answer_need::required});
     EXPECT_TRUE(effects.delivered.empty());
     // The owner is looked for at the other agents.
     ASSERT_EQ(effects.forwards.size(), 1U);
@@ -55,9 +58,10 @@
 }
 
 // The upstream returns an opening packet: the next candidate gets it.
-TEST_F(former_incarnation, a_returned_packet_goes_on_to_the_next_candidate)
+TEST_F(former_incarnation,
+       returned_opening_packet_is_forwarded_to_the_next_candidate)
 {
-    packet_header sent = named_by_former(1, packet_role::opens);
+    packet_header sent = header_for_former(1, packet_role::opens);
     sent.current.push_back(identity(1));
     handle(packet_returned{sent, {}});
     ASSERT_EQ(effects.forwards.size(), 1U);
@@ -65,8 +69,7 @@
     EXPECT_TRUE(effects.refusals.empty());
 }
 
-TEST_F(former_incarnation,
-       a_packet_of_another_service_goes_on_to_its_next_candidate)
+TEST_F(former_incarnation, opening_packet_of_another_service_is_forwarded)
 {
     packet_header sent = header(1);
     sent.service = service_id(6);
@@ -81,9 +84,9 @@
 // Other agents add the former incarnation repeatedly along the packet's path.
 // It is visited once, at its own position in the order, and the walk continues
 // from there.
-TEST_F(former_incarnation, a_walk_meets_it_once)
+TEST_F(former_incarnation, is_visited_once_by_a_walk)
 {
-    packet_header sent = named_by_former(1, packet_role::continues);
+    packet_header sent = header_for_former(1, packet_role::continues);
     sent.pass = packet_pass::walk;
     sent.hops = 3;
     for (std::size_t i = 1; i < 3; ++i)
@@ -100,11 +103,11 @@
 
 // The search for an owner need not wait until control reports that the former
 // incarnation has ended.
-TEST_F(former_incarnation, has_no_flow_any_more_and_says_so)
+TEST_F(former_incarnation, owner_question_for_it_is_denied)
 {
     const candidate asker = identity(1);
     effects.sent.clear();
-    tell(
+    deliver_message(
         owner_question{service_id(5), former().tag, asker, {flow(1), flow(2)}});
     ASSERT_EQ(effects.sent.size(), 1U);
     const auto& told = std::get<owner_answer>(effects.sent.front().second);
@@ -116,15 +119,17 @@
 
 // The upstream was already running, and the agent, which has just started, does
 // not know its incarnation yet: the flow may be there.
-TEST_F(former_incarnation, is_not_answered_for_before_the_upstream_has_spoken)
+TEST_F(former_incarnation,
+       owner_question_is_not_answered_while_it_may_be_the_present_one)
 {
     handle(upstream_start_reported{time_point(), true, true});
     effects.sent.clear();
-    tell(owner_question{service_id(5), former().tag, identity(1), {flow(1)}});
+    deliver_message(
+        owner_question{service_id(5), former().tag, identity(1), {flow(1)}});
     EXPECT_TRUE(effects.sent.empty());
 }
 
-TEST(forward_opening, passes_over_other_lives_at_the_same_address)
+TEST(forward_opening, skips_other_incarnations_at_the_same_address)
 {
     packet_header sent;
     sent.role = packet_role::opens;
@@ -138,7 +143,7 @@
     EXPECT_FALSE(forward_opening(sent, agent_fixture::address(2)));
 }
 
-TEST(forward_opening, leaves_alone_what_opens_nothing)
+TEST(forward_opening, ignores_packets_that_open_no_flow)
 {
     packet_header sent;
     sent.role = packet_role::continues;
--- a/packages/agent/test/mesh.cpp
+++ b/packages/agent/test/mesh.cpp
@@ -59,7 +59,7 @@
     std::uniform_real_distribution<double> chance(0.0, 1.0);
     if (chance(m_random) >= m_settings.loss)
     {
-        at(m_now + draw(m_settings.least_delay, m_settings.most_delay),
+        at(m_now + draw(m_settings.min_delay, m_settings.max_delay),
            std::move(run));
     }
 }
@@ -167,10 +167,10 @@
     member_node added;
     added.record.id = upstream_id("u" + std::to_string(index));
     added.record.service = m_settings.declared.id;
-    added.record.started = incarnation(++m_lives);
+    added.record.started = incarnation(++m_incarnations);
     added.record.agent = host(1, index);
     m_nodes.push_back(std::move(added));
-    m_life.push_back(0);
+    m_agent_starts.push_back(0);
     start_agent(index);
     publish();
     return index;
@@ -183,18 +183,19 @@
     settings.self = here.record;
     here.core = std::make_unique<agent>(settings, m_now);
     here.view_known = m_now;
-    const std::uint64_t life = ++m_life[index];
-    at(m_now, [this, index, life] { tick_node(index, life); });
+    const std::uint64_t agent_start = ++m_agent_starts[index];
+    at(m_now, [this, index, agent_start] { tick_node(index, agent_start); });
 }
 
-void mesh::tick_node(std::size_t index, std::uint64_t life)
+void mesh::tick_node(std::size_t index, std::uint64_t agent_start)
 {
-    if (!m_nodes[index].alive || m_life[index] != life)
+    if (!m_nodes[index].alive || m_agent_starts[index] != agent_start)
     {
         return;
     }
     handle(index, tick{});
-    at(m_now + tick_interval, [this, index, life] { tick_node(index, life); });
+    at(m_now + tick_interval,
+       [this, index, agent_start] { tick_node(index, agent_start); });
 }
 
 std::shared_ptr<const service_view> mesh::view() const
@@ -236,15 +237,15 @@
             continue;
         }
         time_point& known = m_nodes[i].view_known;
-        known = std::max(known,
-                         m_now + draw(duration::zero(), m_settings.most_lag));
+        known =
+            std::max(known, m_now + draw(duration::zero(), m_settings.max_lag));
         at(known, [this, i, next] { handle(i, view_changed{next}); });
     }
     for (std::size_t i = 0; i < m_balancers.size(); ++i)
     {
         time_point& known = m_balancers[i].view_known;
-        known = std::max(known,
-                         m_now + draw(duration::zero(), m_settings.most_lag));
+        known =
+            std::max(known, m_now + draw(duration::zero(), m_settings.max_lag));
         at(known,
            [this, address = m_balancers[i].address, next]
            {
--- a/packages/agent/test/mesh.hpp
+++ b/packages/agent/test/mesh.hpp
@@ -23,10 +23,10 @@
     double loss = 0.0;
     // The one-way delay between hosts; drawn uniformly, so that packets
     // overtake each other.
-    duration least_delay = std::chrono::microseconds(300);
-    duration most_delay = std::chrono::milliseconds(3);
+    duration min_delay = std::chrono::microseconds(300);
+    duration max_delay = std::chrono::milliseconds(3);
     // The maximum delay after which a node knows a view.
-    duration most_lag = std::chrono::seconds(2);
+    duration max_lag = std::chrono::seconds(2);
     service declared;
     agent_settings agents;
     std::uint64_t seed = 1;
@@ -64,7 +64,7 @@
     std::size_t join();
     void drain(std::size_t index, bool on);
     void leave(std::size_t index);
-    void reweigh(std::size_t index, std::uint32_t weight);
+    void set_weight(std::size_t index, std::uint32_t weight);
     // Ends a draining upstream that has no flow left.
     void retire_if_idle(std::size_t index);
     // Restarts the agent beside its running upstream.
@@ -75,14 +75,14 @@
     // Unplanned changes.
     void kill_upstream(std::size_t index);
     // Starts another upstream at the address of a failed one.
-    void revive_as_another(std::size_t index);
+    void start_new_incarnation(std::size_t index);
     void set_answering(std::size_t index, bool on);
     // Control no longer hears the agent and sends it no views. Its lease has
     // expired for all others; it continues to serve unless it is dead.
     void cut_from_control(std::size_t index, bool is_dead);
     void return_to_control(std::size_t index);
     // Sends a packet from the upstream that has the flow.
-    void push(std::uint32_t flow);
+    void send_from_upstream(std::uint32_t flow);
 
     std::size_t nodes() const { return m_nodes.size(); }
     bool alive(std::size_t node) const { return m_nodes[node].alive; }
@@ -138,7 +138,7 @@
     void over_network(std::function<void()> run);
     duration draw(duration least, duration most);
     void start_agent(std::size_t index);
-    void tick_node(std::size_t index, std::uint64_t life);
+    void tick_node(std::size_t index, std::uint64_t agent_start);
     void publish();
     std::shared_ptr<const service_view> view() const;
     void arrive(const endpoint& to, const packet_header& header,
@@ -155,10 +155,10 @@
     time_point m_now{std::chrono::hours(1)};
     std::uint64_t m_order = 0;
     std::uint32_t m_requests = 0;
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_incarnations = 0;
     std::priority_queue<timed_event> m_events;
     std::vector<member_node> m_nodes;
-    std::vector<std::uint64_t> m_life;
+    std::vector<std::uint64_t> m_agent_starts;
     std::vector<balancer> m_balancers;
     // Draining balancers, which still forward answers until the given times.
     std::map<endpoint, time_point> m_retired;
--- a/packages/agent/test/mesh_changes.cpp
+++ b/packages/agent/test/mesh_changes.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-void mesh::reweigh(std::size_t index, std::uint32_t weight)
+void mesh::set_weight(std::size_t index, std::uint32_t weight)
 {
     m_nodes[index].record.weight = weight;
     ++m_nodes[index].record.sequence;
@@ -49,7 +49,7 @@
 {
     // The replacement starts with the present view and has no earlier table.
     balancer& here = m_balancers[index];
-    m_retired[here.address] = m_now + 2 * m_settings.most_lag;
+    m_retired[here.address] = m_now + 2 * m_settings.max_lag;
     here.address.port = static_cast<std::uint16_t>(here.address.port + 1);
     here.current = forwarding_table::build(*view());
     here.previous = nullptr;
@@ -79,10 +79,10 @@
     publish();
 }
 
-void mesh::revive_as_another(std::size_t index)
+void mesh::start_new_incarnation(std::size_t index)
 {
     member_node& here = m_nodes[index];
-    here.record.started = incarnation(++m_lives);
+    here.record.started = incarnation(++m_incarnations);
     here.record.state = upstream_state::ready;
     here.alive = true;
     start_agent(index);
@@ -90,7 +90,7 @@
     publish();
 }
 
-void mesh::push(std::uint32_t flow)
+void mesh::send_from_upstream(std::uint32_t flow)
 {
     const flow_key pushed = key(flow);
     handle(owners(flow).front(), upstream_answered{pushed, {}});
--- a/packages/agent/test/owner_search_test.cpp
+++ b/packages/agent/test/owner_search_test.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 const time_point start{1h};
-constexpr std::size_t much_room = 10'000;
+constexpr std::size_t unlimited_room = 10'000;
 
 packet_header packet_of(std::uint16_t flow)
 {
@@ -47,35 +47,35 @@
     }
 }
 
-TEST(owner_search, asks_every_member_once_a_round)
+TEST(owner_search, asks_every_member_once_per_round)
 {
     owner_search search;
     ASSERT_TRUE(search.add(start, packet_of(1), {}, false));
-    EXPECT_EQ(search.ask(start, much_room, members(5)).size(), 5U);
-    EXPECT_TRUE(search.ask(start + 1ms, much_room, members(5)).empty());
+    EXPECT_EQ(search.ask(start, unlimited_room, members(5)).size(), 5U);
+    EXPECT_TRUE(search.ask(start + 1ms, unlimited_room, members(5)).empty());
     const time_point next = start + search_times().round;
-    EXPECT_EQ(search.ask(next, much_room, members(5)).size(), 5U);
+    EXPECT_EQ(search.ask(next, unlimited_room, members(5)).size(), 5U);
 }
 
-TEST(owner_search, asks_only_those_that_have_not_denied_the_flow)
+TEST(owner_search, asks_only_members_that_have_not_denied_the_flow)
 {
     owner_search search;
     search.add(start, packet_of(1), {}, false);
-    (void)search.ask(start, much_room, members(5));
+    (void)search.ask(start, unlimited_room, members(5));
     deny_all(search, 1, members(4));
     const auto again =
-        search.ask(start + search_times().round, much_room, members(5));
+        search.ask(start + search_times().round, unlimited_room, members(5));
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].to, agent_fixture::identity(5));
     EXPECT_TRUE(search.take_denied().empty());
 }
 
-TEST(owner_search, a_flow_that_all_denied_is_lost)
+TEST(owner_search, flow_denied_by_all_members_has_no_owner)
 {
     owner_search search;
     search.add(start, packet_of(1), {}, false);
     search.add(start, packet_of(2), {}, false);
-    (void)search.ask(start, much_room, members(5));
+    (void)search.ask(start, unlimited_room, members(5));
     deny_all(search, 1, members(5));
     const auto lost = search.take_denied();
     ASSERT_EQ(lost.size(), 1U);
@@ -83,22 +83,22 @@
     EXPECT_EQ(search.size(), 1U);
 }
 
-TEST(owner_search, flows_share_questions)
+TEST(owner_search, batches_flows_into_questions)
 {
     owner_search search;
     for (std::uint16_t flow = 0; flow < owner_question::max_flows; ++flow)
     {
         search.add(start, packet_of(flow), {}, false);
     }
-    const auto asked = search.ask(start, much_room, members(5));
+    const auto asked = search.ask(start, unlimited_room, members(5));
     EXPECT_EQ(asked.size(), 5U);
     EXPECT_EQ(asked[0].flows.size(), owner_question::max_flows);
     search.add(start, packet_of(100), {}, false);
     const time_point next = start + search_times().round;
-    EXPECT_EQ(search.ask(next, much_room, members(5)).size(), 10U);
+    EXPECT_EQ(search.ask(next, unlimited_room, members(5)).size(), 10U);
 }
 
-TEST(owner_search, a_round_goes_on_where_there_was_no_more_room)
+TEST(owner_search, continues_a_round_that_exceeded_its_room)
 {
     owner_search search;
     search.add(start, packet_of(1), {}, false);
@@ -116,24 +116,24 @@
     EXPECT_EQ(asked, all);
 }
 
-TEST(owner_search, who_becomes_known_is_asked_and_who_ends_is_not_waited_for)
+TEST(owner_search, asks_joined_members_and_drops_ended_ones)
 {
     owner_search search;
     search.add(start, packet_of(1), {}, false);
-    (void)search.ask(start, much_room, members(3));
+    (void)search.ask(start, unlimited_room, members(3));
     deny_all(search, 1, members(2));
     // The third member has ended, and a fourth one is known.
     std::vector<candidate> later = members(4);
     later.erase(later.begin() + 2);
     const time_point next = start + search_times().round;
-    const auto asked = search.ask(next, much_room, later);
+    const auto asked = search.ask(next, unlimited_room, later);
     ASSERT_EQ(asked.size(), 1U);
     EXPECT_EQ(asked[0].to, agent_fixture::identity(4));
     search.denied(hash_of(1), agent_fixture::identity(4).tag);
     EXPECT_EQ(search.take_denied().size(), 1U);
 }
 
-TEST(owner_search, a_caller_that_sends_no_more_copies_is_forgotten)
+TEST(owner_search, ends_when_the_caller_stops_retransmitting)
 {
     owner_search search;
     search.add(start, packet_of(1), {}, false);
@@ -144,7 +144,7 @@
     EXPECT_NE(search.find(hash_of(2)), nullptr);
 }
 
-TEST(owner_search, holds_so_many_flows_and_renews_those)
+TEST(owner_search, rejects_flows_beyond_its_limit_but_renews_known_ones)
 {
     owner_search search;
     for (std::uint16_t flow = 0; flow < owner_search::max_flows; ++flow)
--- a/packages/agent/test/planned_change_test.cpp
+++ b/packages/agent/test/planned_change_test.cpp
@@ -77,7 +77,7 @@
     switch (random() % 6)
     {
     case 0:
-        ready.size() > 4 ? net.drain(node, true) : net.reweigh(node, 100);
+        ready.size() > 4 ? net.drain(node, true) : net.set_weight(node, 100);
         break;
     case 1:
         if (!draining.empty())
@@ -87,16 +87,16 @@
         break;
     case 2:
         net.nodes() < 16 ? static_cast<void>(net.join())
-                         : net.reweigh(node, 50);
+                         : net.set_weight(node, 50);
         break;
     case 3:
-        net.reweigh(node, 20 + static_cast<std::uint32_t>(random() % 300));
+        net.set_weight(node, 20 + static_cast<std::uint32_t>(random() % 300));
         break;
     case 4:
         net.replace_balancer(random() % 3);
         break;
     default:
-        net.reweigh(node, 100);
+        net.set_weight(node, 100);
     }
 }
 
@@ -172,7 +172,7 @@
 
 // With one percent of packets and of messages between agents lost, no flow gets
 // a second owner; only packets are lost.
-TEST_P(planned_change, lost_packets_double_no_flow)
+TEST_P(planned_change, lost_packets_create_no_second_owner)
 {
     mesh_settings settings = defaults(GetParam());
     settings.loss = 0.01;
--- a/packages/agent/test/recording_effects.hpp
+++ b/packages/agent/test/recording_effects.hpp
@@ -19,7 +19,7 @@
         endpoint to;
         packet_header header;
     };
-    struct told_caller
+    struct caller_notice
     {
         endpoint to;
         flow_key flow;
@@ -41,12 +41,12 @@
     void refuse(const endpoint& to, const flow_key& flow, payload_view,
                 const flow_refusal& told)
     {
-        refusals.push_back(told_caller{to, flow, told});
+        refusals.push_back(caller_notice{to, flow, told});
     }
     void reset_caller(const endpoint& to, const flow_key& flow, payload_view,
                       const flow_refusal& told)
     {
-        caller_resets.push_back(told_caller{to, flow, told});
+        caller_resets.push_back(caller_notice{to, flow, told});
     }
     void reset_upstream(const flow_key& flow, refusal_reason)
     {
@@ -69,8 +69,8 @@
     std::vector<flow_key> delivered;
     std::vector<forwarded> forwards;
     std::vector<endpoint> answers;
-    std::vector<told_caller> refusals;
-    std::vector<told_caller> caller_resets;
+    std::vector<caller_notice> refusals;
+    std::vector<caller_notice> caller_resets;
     std::vector<flow_key> upstream_resets;
     std::vector<flow_key> closed;
     std::vector<std::pair<endpoint, peer_message>> sent;
--- a/packages/agent/test/refusal_test.cpp
+++ b/packages/agent/test/refusal_test.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 // Requests refused as "not run" are in no upstream's own record.
-TEST(refusal, not_run_holds_against_the_upstreams_record)
+TEST(refusal, not_run_requests_never_reached_an_upstream)
 {
     mesh net(small(5));
     net.run(12s);
@@ -53,7 +53,7 @@
 }
 
 // As soon as an agent knows that it leaves, it admits no new flow.
-TEST(refusal, a_leaving_upstream_gets_no_new_flow_and_keeps_its_own)
+TEST(refusal, leaving_upstream_gets_no_new_flow_and_keeps_its_own)
 {
     mesh net(small(2000));
     net.run(12s);
@@ -76,7 +76,7 @@
     EXPECT_EQ(net.total().refused, 0U);
 }
 
-TEST(refusal, with_every_upstream_leaving_a_flow_is_refused_at_once)
+TEST(refusal, flow_is_refused_at_once_when_all_upstreams_leave)
 {
     mesh net(small(2000));
     net.run(12s);
--- a/packages/agent/test/returned_test.cpp
+++ b/packages/agent/test/returned_packet_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST(returned, a_connection_that_the_upstream_cannot_open_goes_to_the_next)
+TEST(returned_packet, opening_packet_is_forwarded_to_the_next_candidate)
 {
     agent_fixture fixture(3);
     const packet_header opens = three_candidates(fixture, packet_role::opens);
@@ -35,7 +35,7 @@
     EXPECT_TRUE(fixture.effects.refusals.empty());
 }
 
-TEST(returned, once_all_candidates_returned_it_the_caller_is_refused)
+TEST(returned_packet, caller_is_refused_after_all_candidates_returned_it)
 {
     agent_fixture fixture(3);
     packet_header opens = three_candidates(fixture, packet_role::opens);
@@ -50,7 +50,7 @@
 }
 
 // Agents that restarted together each adopt flows that may be theirs.
-TEST(returned, a_flow_that_was_taken_up_wrongly_is_looked_for_elsewhere)
+TEST(returned_packet, wrongly_adopted_flow_is_searched_for_elsewhere)
 {
     agent_fixture fixture(3);
     fixture.handle(upstream_survived{});
@@ -80,7 +80,7 @@
     EXPECT_FALSE(fixture.core->owns(later.flow));
 }
 
-TEST(returned, a_flow_that_the_upstream_has_lost_is_forgotten)
+TEST(returned_packet, flow_lost_by_the_upstream_is_closed)
 {
     agent_fixture fixture(1);
     packet_header opens = fixture.header(1);
@@ -94,7 +94,7 @@
 }
 
 // An address may move to another service while connections to it are open.
-TEST(returned, a_connection_stays_where_it_is_when_its_address_moves)
+TEST(moved_address, connection_stays_with_its_upstream)
 {
     agent_fixture fixture(1);
     packet_header opens = fixture.header(1);
@@ -110,7 +110,7 @@
     EXPECT_EQ(fixture.effects.delivered.size(), before + 1);
 }
 
-TEST(returned, another_service_is_never_asked_to_take_a_connection)
+TEST(moved_address, opening_packet_of_another_service_is_dropped)
 {
     agent_fixture fixture(1);
     for (const packet_pass pass : {packet_pass::admit, packet_pass::place})
--- a/packages/agent/test/search_test.cpp
+++ b/packages/agent/test/search_test.cpp
@@ -15,7 +15,7 @@
 
 // All hosts lost power: the flow's upstream has ended, and the caller would
 // wait for its own timeout.
-TEST(search, a_caller_whose_flow_nobody_has_is_reset_at_once)
+TEST(search, caller_of_a_lost_flow_is_reset_at_once)
 {
     searched_service service;
     service.send(flow_number);
@@ -23,7 +23,7 @@
     EXPECT_LE(service.forwards, 2 * members);
 }
 
-TEST(search, agents_that_restarted_beside_new_upstreams_prove_it_by_trying)
+TEST(search, caller_is_reset_after_restarted_agents_tried_their_upstreams)
 {
     searched_service service;
     for (std::size_t i = 0; i < members; ++i)
@@ -37,7 +37,7 @@
 }
 
 // The owner is outside the chains, and its agent has lost its flow table.
-TEST(search, finds_a_flow_wherever_it_is_after_all_agents_restarted)
+TEST(search, finds_the_owner_after_all_agents_restarted)
 {
     for (std::size_t owner = 0; owner < members; ++owner)
     {
@@ -54,18 +54,18 @@
     }
 }
 
-TEST(search, one_member_that_does_not_answer_leaves_the_caller_alone)
+TEST(search, caller_is_not_reset_while_a_member_does_not_answer)
 {
     for (std::size_t silent = 0; silent < members; ++silent)
     {
         searched_service service;
-        service.cut_off = silent;
+        service.unreachable_member = silent;
         service.send(flow_number);
         EXPECT_EQ(service.resets, 0U) << silent;
     }
 }
 
-TEST(search, proves_nothing_while_members_may_be_unknown)
+TEST(search, caller_is_not_reset_while_members_may_be_unknown)
 {
     searched_service service;
     for (std::size_t i = 0; i < members; ++i)
@@ -79,7 +79,7 @@
     EXPECT_EQ(service.resets, 1U);
 }
 
-TEST(search, what_was_held_finds_an_owner_that_became_known)
+TEST(search, held_packet_reaches_an_owner_that_became_known)
 {
     searched_service service;
     service.hold(3, flow_number);
@@ -87,16 +87,16 @@
     {
         service.restart(i, i == 3);
     }
-    service.cut_off = 3;
+    service.unreachable_member = 3;
     service.send(flow_number);
-    service.cut_off = members;
+    service.unreachable_member = members;
     service.send(flow_number);
     service.pass(std::chrono::seconds(5));
     EXPECT_EQ(service.resets, 0U);
     EXPECT_FALSE(service.delivered.empty());
 }
 
-TEST(search, a_silent_member_that_serves_the_flow_keeps_it)
+TEST(search, silent_member_keeps_its_flow)
 {
     searched_service service;
     service.hold(3, flow_number);
@@ -107,10 +107,10 @@
     EXPECT_EQ(service.resets, 0U);
 }
 
-TEST(search, with_a_silent_member_only_a_caller_in_vain_is_reset)
+TEST(search, caller_is_reset_only_on_retransmission_with_a_silent_member)
 {
     searched_service service;
-    service.cut_off = 3;
+    service.unreachable_member = 3;
     service.set_state(3, upstream_state::silent);
     service.send(flow_number);
     EXPECT_EQ(service.resets, 0U);
@@ -119,7 +119,7 @@
     EXPECT_EQ(service.resets, 1U);
 }
 
-TEST(search, a_flow_that_may_be_with_another_service_is_left_alone)
+TEST(search, flow_of_another_service_is_not_reset)
 {
     searched_service service;
     candidate_chain elsewhere;
@@ -128,7 +128,7 @@
     EXPECT_EQ(service.resets, 0U);
 }
 
-TEST(search, is_bounded_at_each_tick)
+TEST(search, questions_per_tick_are_bounded)
 {
     searched_service service;
     const std::uint32_t bound = agent_settings().questions_per_tick;
@@ -144,7 +144,7 @@
     EXPECT_LE(service.messages, 2 * members * bound);
 }
 
-class search_in : public ::testing::TestWithParam<std::size_t>
+class search_at_size : public ::testing::TestWithParam<std::size_t>
 {
 };
 
@@ -159,7 +159,7 @@
     return step * (2 + count / questions_a_step);
 }
 
-TEST_P(search_in, a_lost_flow_is_reset_however_many_members_there_are)
+TEST_P(search_at_size, lost_flow_is_reset)
 {
     searched_service service(long_ago, GetParam());
     service.send(flow_number);
@@ -171,7 +171,7 @@
 // One packet of each flow, as after a power failure. Forwarding a packet to
 // each member in turn took as many whole packets for each flow: 32,600 with 163
 // members.
-TEST_P(search_in, many_lost_flows_share_what_is_asked)
+TEST_P(search_at_size, lost_flows_share_questions)
 {
     searched_service service(long_ago, GetParam());
     for (std::uint16_t flow = 1; flow <= lost_flows; ++flow)
@@ -189,7 +189,7 @@
     EXPECT_LE(service.forwards, std::size_t{8} * lost_flows);
 }
 
-TEST_P(search_in, an_owner_beyond_all_chains_gets_the_packet)
+TEST_P(search_at_size, owner_outside_all_chains_gets_the_packet)
 {
     searched_service service(long_ago, GetParam());
     const std::size_t owner = GetParam() - 1;
@@ -204,7 +204,7 @@
 
 // The agents restarted together with their upstreams and took them for running
 // ones: each flow was tried at each of them.
-TEST_P(search_in, upstreams_that_have_just_started_are_hardly_tried)
+TEST_P(search_at_size, just_started_upstreams_are_tried_only_as_candidates)
 {
     searched_service service(long_ago, GetParam());
     for (std::size_t i = 0; i < GetParam(); ++i)
@@ -219,7 +219,7 @@
     EXPECT_LE(service.tried, candidates);
 }
 
-INSTANTIATE_TEST_SUITE_P(sizes, search_in,
+INSTANTIATE_TEST_SUITE_P(sizes, search_at_size,
                          ::testing::Values(std::size_t{7}, std::size_t{163},
                                            std::size_t{1000}));
 
--- a/packages/agent/test/searched_service.hpp
+++ b/packages/agent/test/searched_service.hpp
@@ -19,7 +19,7 @@
 
     explicit searched_service(duration age = std::chrono::seconds(60),
                               std::size_t count = members)
-        : cut_off(count)
+        : unreachable_member(count)
     {
         m_view = std::make_shared<service_view>();
         m_view->declared.id = service_id(5);
@@ -102,7 +102,8 @@
     }
 
     // Gives the agent a redirect of the flow to another agent.
-    void tell(std::size_t index, std::size_t owner, std::uint16_t number)
+    void deliver_redirect(std::size_t index, std::size_t owner,
+                          std::uint16_t number)
     {
         flow_key flow = agent_fixture::flow(number);
         flow.protocol = transport::tcp;
@@ -134,7 +135,7 @@
 
     // The member that gets no packets or messages; the number of members if
     // there is none.
-    std::size_t cut_off;
+    std::size_t unreachable_member;
     std::size_t resets = 0;
     // Packets that reached an upstream which does not hold their flow.
     std::size_t tried = 0;
@@ -148,7 +149,7 @@
     {
         for (std::size_t i = 0; i < m_cores.size(); ++i)
         {
-            if (agent_fixture::address(i) == to && i != cut_off)
+            if (agent_fixture::address(i) == to && i != unreachable_member)
             {
                 handle(i, packet_arrived{header, {}, answer_need::required});
             }
@@ -173,14 +174,14 @@
         }
         for (const auto& [to, message] : effects.sent)
         {
-            tell_peer(index, to, message);
+            deliver_to_peer(index, to, message);
         }
     }
 
     // Loads and redirects are dropped: agents know only the redirects that the
     // test gives them.
-    void tell_peer(std::size_t from, const endpoint& to,
-                   const peer_message& message)
+    void deliver_to_peer(std::size_t from, const endpoint& to,
+                         const peer_message& message)
     {
         const bool is_search =
             std::holds_alternative<owner_question>(message) ||
@@ -192,7 +193,7 @@
         ++messages;
         for (std::size_t i = 0; i < m_cores.size(); ++i)
         {
-            if (agent_fixture::address(i) == to && i != cut_off)
+            if (agent_fixture::address(i) == to && i != unreachable_member)
             {
                 const endpoint sender = agent_fixture::address(from);
                 handle(i, message_arrived{sender, message});
--- a/packages/agent/test/shedding_test.cpp
+++ b/packages/agent/test/shedding_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST(shedding, a_cold_upstream_warms_with_time_and_answers)
+TEST(shedding, cold_upstream_warms_up_with_time_and_answers)
 {
     internal::progress_monitor monitor(2s, start);
     monitor.assess(start, false, 10s);
@@ -36,7 +36,7 @@
     EXPECT_EQ(unanswering.share(), full_share / 10);
 }
 
-TEST(shedding, a_stalled_upstream_falls_and_one_that_answers_recovers)
+TEST(shedding, share_falls_on_a_stall_and_recovers_with_answers)
 {
     internal::progress_monitor monitor(2s, start);
     monitor.assume_warm();
@@ -63,7 +63,7 @@
     EXPECT_FALSE(monitor.wants_to_shed());
 }
 
-TEST(shedding, at_most_a_third_gets_leave_also_across_wardens)
+TEST(shedding, at_most_a_third_gets_permission_even_across_coordinators)
 {
     internal::shed_coordinator coordinator(5s);
     coordinator.set_coordinator(start, true);
@@ -77,53 +77,55 @@
     EXPECT_FALSE(coordinator.grant(now + 6s, 4, 2));
 }
 
-TEST(shedding, without_leave_a_stalled_upstream_still_takes_flows)
+TEST(shedding, stalled_upstream_without_permission_still_admits_flows)
 {
     for (const bool granted : {false, true})
     {
-        agent_fixture one(7);
-        one.call(1);
-        one.answer(1);
+        agent_fixture fixture(7);
+        fixture.call(1);
+        fixture.answer(1);
         for (int i = 0; i < 100; ++i)
         {
-            one.call(1);
-            one.advance(200ms);
+            fixture.call(1);
+            fixture.advance(200ms);
             if (granted)
             {
-                one.tell(shed_grant{service_id(5), one.core->tag(), 5s});
+                fixture.deliver_message(
+                    shed_grant{service_id(5), fixture.core->tag(), 5s});
             }
         }
-        EXPECT_EQ(one.core->sheds(one.now), granted);
+        EXPECT_EQ(fixture.core->sheds(fixture.now), granted);
         // The first flow is the trial; the second shows the difference.
-        one.call(2);
-        one.call(3);
-        EXPECT_TRUE(one.core->owns(agent_fixture::flow(2)));
-        EXPECT_EQ(one.core->owns(agent_fixture::flow(3)), !granted);
-        EXPECT_EQ(one.effects.refusals.size(), granted ? 1U : 0U);
+        fixture.call(2);
+        fixture.call(3);
+        EXPECT_TRUE(fixture.core->owns(agent_fixture::flow(2)));
+        EXPECT_EQ(fixture.core->owns(agent_fixture::flow(3)), !granted);
+        EXPECT_EQ(fixture.effects.refusals.size(), granted ? 1U : 0U);
     }
 }
 
-TEST(shedding, an_upstream_recovers_by_its_trials)
+TEST(shedding, upstream_recovers_through_trial_flows)
 {
-    agent_fixture one(7);
-    one.call(1);
-    one.answer(1);
+    agent_fixture fixture(7);
+    fixture.call(1);
+    fixture.answer(1);
     std::uint16_t next = 2;
     for (int i = 0; i < 100; ++i)
     {
-        one.call(1);
-        one.advance(200ms);
-        one.tell(shed_grant{service_id(5), one.core->tag(), 5s});
+        fixture.call(1);
+        fixture.advance(200ms);
+        fixture.deliver_message(
+            shed_grant{service_id(5), fixture.core->tag(), 5s});
     }
-    ASSERT_TRUE(one.core->sheds(one.now));
+    ASSERT_TRUE(fixture.core->sheds(fixture.now));
     for (int i = 0; i < 10; ++i)
     {
-        one.call(next);
-        one.answer(next);
+        fixture.call(next);
+        fixture.answer(next);
         ++next;
-        one.advance(1s);
+        fixture.advance(1s);
     }
-    EXPECT_FALSE(one.core->sheds(one.now));
+    EXPECT_FALSE(fixture.core->sheds(fixture.now));
 }
 
 } // namespace crowlink::test
--- a/packages/agent/test/silence_test.cpp
+++ b/packages/agent/test/silence_test.cpp
@@ -11,98 +11,98 @@
 using namespace std::chrono_literals;
 
 // Answers another flow of the same upstream for this many seconds.
-void others_progress(agent_fixture& one, int seconds)
+void others_progress(agent_fixture& fixture, int seconds)
 {
     for (int i = 0; i < seconds; ++i)
     {
-        one.call(99);
-        one.answer(99);
-        one.advance(1s);
+        fixture.call(99);
+        fixture.answer(99);
+        fixture.advance(1s);
     }
 }
 
 } // namespace
 
-TEST(silence, a_caller_that_repeats_itself_in_vain_is_told_as_is_its_upstream)
+TEST(silence, resets_caller_and_upstream_after_unanswered_datagrams)
 {
-    agent_fixture one(3);
-    one.call(1);
+    agent_fixture fixture(3);
+    fixture.call(1);
     for (int i = 0; i < 8; ++i)
     {
-        others_progress(one, 5);
-        one.call(1);
+        others_progress(fixture, 5);
+        fixture.call(1);
     }
-    ASSERT_EQ(one.effects.caller_resets.size(), 1U);
-    const auto& reset = one.effects.caller_resets.front();
+    ASSERT_EQ(fixture.effects.caller_resets.size(), 1U);
+    const auto& reset = fixture.effects.caller_resets.front();
     EXPECT_EQ(reset.flow, agent_fixture::flow(1));
     EXPECT_EQ(reset.told.reason, refusal_reason::silent);
     EXPECT_EQ(reset.told.outcome, verdict::may_have_run);
-    EXPECT_EQ(one.effects.upstream_resets.size(), 1U);
-    EXPECT_EQ(one.core->counts().silent, 1U);
+    EXPECT_EQ(fixture.effects.upstream_resets.size(), 1U);
+    EXPECT_EQ(fixture.core->counts().silent, 1U);
 }
 
-TEST(silence, one_request_that_surely_needs_an_answer_is_enough)
+TEST(silence, resets_after_one_unanswered_request_that_needs_an_answer)
 {
-    agent_fixture one(3);
-    one.call(1, answer_need::required);
-    others_progress(one, 29);
-    EXPECT_TRUE(one.effects.caller_resets.empty());
-    others_progress(one, 10);
-    EXPECT_EQ(one.effects.caller_resets.size(), 1U);
+    agent_fixture fixture(3);
+    fixture.call(1, answer_need::required);
+    others_progress(fixture, 29);
+    EXPECT_TRUE(fixture.effects.caller_resets.empty());
+    others_progress(fixture, 10);
+    EXPECT_EQ(fixture.effects.caller_resets.size(), 1U);
 }
 
 // A quiet stream: the caller has acknowledged a few items and waits, as the
 // upstream has nothing to send for an hour.
-TEST(silence, a_quiet_feed_is_left_alone)
+TEST(silence, keeps_a_quiet_stream)
 {
-    agent_fixture one(3);
-    one.call(1);
-    one.answer(1);
-    one.call(1);
-    one.call(1);
-    one.call(1);
-    others_progress(one, 1200);
-    EXPECT_TRUE(one.effects.caller_resets.empty());
-    EXPECT_TRUE(one.core->owns(agent_fixture::flow(1)));
+    agent_fixture fixture(3);
+    fixture.call(1);
+    fixture.answer(1);
+    fixture.call(1);
+    fixture.call(1);
+    fixture.call(1);
+    others_progress(fixture, 1200);
+    EXPECT_TRUE(fixture.effects.caller_resets.empty());
+    EXPECT_TRUE(fixture.core->owns(agent_fixture::flow(1)));
 }
 
-TEST(silence, two_datagrams_far_apart_are_no_repetition)
+TEST(silence, two_distant_datagrams_are_no_retransmission)
 {
-    agent_fixture one(3);
-    one.call(1);
-    others_progress(one, 20);
-    one.call(1);
-    others_progress(one, 100);
-    EXPECT_TRUE(one.effects.caller_resets.empty());
+    agent_fixture fixture(3);
+    fixture.call(1);
+    others_progress(fixture, 20);
+    fixture.call(1);
+    others_progress(fixture, 100);
+    EXPECT_TRUE(fixture.effects.caller_resets.empty());
 }
 
-TEST(silence, an_upstream_that_answers_nobody_is_no_silent_flow)
+TEST(silence, resets_nothing_when_no_flow_is_answered)
 {
-    agent_fixture one(3);
+    agent_fixture fixture(3);
     for (int i = 0; i < 40; ++i)
     {
-        one.call(1);
-        one.call(2);
-        one.advance(2s);
+        fixture.call(1);
+        fixture.call(2);
+        fixture.advance(2s);
     }
-    EXPECT_TRUE(one.effects.caller_resets.empty());
+    EXPECT_TRUE(fixture.effects.caller_resets.empty());
 }
 
-TEST(silence, an_idle_flow_is_closed_and_a_busy_one_kept)
+TEST(silence, closes_idle_flows_and_keeps_active_ones)
 {
-    agent_fixture one(3);
-    one.call(1);
-    one.call(2);
+    agent_fixture fixture(3);
+    fixture.call(1);
+    fixture.call(2);
     const duration idle = agent_settings().udp_idle;
     for (duration quiet{}; quiet <= idle; quiet += 60s)
     {
-        one.call(2);
-        one.answer(2);
-        one.advance(60s);
+        fixture.call(2);
+        fixture.answer(2);
+        fixture.advance(60s);
     }
-    EXPECT_FALSE(one.core->owns(agent_fixture::flow(1)));
-    EXPECT_TRUE(one.core->owns(agent_fixture::flow(2)));
-    EXPECT_EQ(one.core->counts().idle_closed, 1U);
+    EXPECT_FALSE(fixture.core->owns(agent_fixture::flow(1)));
+    EXPECT_TRUE(fixture.core->owns(agent_fixture::flow(2)));
+    EXPECT_EQ(fixture.core->counts().idle_closed, 1U);
 }
 
 } // namespace crowlink::test
--- a/packages/agent/test/unheard_owner_test.cpp
+++ b/packages/agent/test/silent_owner_mesh_test.cpp
@@ -26,10 +26,10 @@
     return settings;
 }
 
-class unheard_owner : public ::testing::TestWithParam<std::uint64_t>
+class silent_owner_mesh : public ::testing::TestWithParam<std::uint64_t>
 {
 protected:
-    unheard_owner()
+    silent_owner_mesh()
     {
         m_net.run(15s);
         call_all(0, flows);
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_P(unheard_owner, keeps_its_flows_while_views_change)
+TEST_P(silent_owner_mesh, keeps_its_flows_while_views_change)
 {
     m_net.cut_from_control(lost, false);
     call_all(0, flows);
@@ -70,7 +70,7 @@
     EXPECT_EQ(answered(0, flows), 2 * flows);
 }
 
-TEST_P(unheard_owner, keeps_its_flows_when_its_lease_has_run_out)
+TEST_P(silent_owner_mesh, keeps_its_flows_after_its_lease_has_expired)
 {
     m_net.cut_from_control(lost, false);
     m_net.run(3s);
@@ -81,7 +81,7 @@
 }
 
 // The tables that listed the owner have expired by then.
-TEST_P(unheard_owner, keeps_flows_that_were_quiet_for_long)
+TEST_P(silent_owner_mesh, keeps_flows_that_were_idle_for_long)
 {
     m_net.cut_from_control(lost, false);
     m_net.run(2min);
@@ -92,7 +92,7 @@
 }
 
 // The candidates that were asked when the flow opened still have its hints.
-TEST_P(unheard_owner, keeps_flows_that_have_just_opened)
+TEST_P(silent_owner_mesh, keeps_flows_that_have_just_opened)
 {
     call_all(flows, flows);
     m_net.run(500ms);
@@ -105,7 +105,7 @@
 }
 
 // The owner notifies the head, which then sends the flow's datagrams directly.
-TEST_P(unheard_owner, is_asked_for_each_flow_once)
+TEST_P(silent_owner_mesh, is_asked_about_each_flow_once)
 {
     m_net.cut_from_control(lost, false);
     m_net.run(2min);
@@ -118,7 +118,7 @@
     EXPECT_EQ(answered(0, flows), 3 * flows);
 }
 
-TEST_P(unheard_owner, gets_no_new_flow)
+TEST_P(silent_owner_mesh, gets_no_new_flow)
 {
     m_net.cut_from_control(lost, false);
     m_net.run(5s);
@@ -129,7 +129,7 @@
     EXPECT_EQ(answered(flows, new_flows), new_flows);
 }
 
-TEST_P(unheard_owner, that_is_dead_keeps_nobody_waiting_for_long)
+TEST_P(silent_owner_mesh, failed_owner_delays_new_flows_only_briefly)
 {
     m_net.cut_from_control(lost, true);
     m_net.run(5s);
@@ -138,7 +138,7 @@
     EXPECT_EQ(answered(flows, new_flows), new_flows);
 }
 
-TEST_P(unheard_owner, keeps_its_flows_when_it_is_heard_again)
+TEST_P(silent_owner_mesh, keeps_its_flows_when_it_is_heard_again)
 {
     m_net.cut_from_control(lost, false);
     m_net.run(30s);
@@ -152,7 +152,7 @@
     EXPECT_EQ(answered(0, flows), 4 * flows);
 }
 
-INSTANTIATE_TEST_SUITE_P(seeds, unheard_owner,
+INSTANTIATE_TEST_SUITE_P(seeds, silent_owner_mesh,
                          ::testing::Range<std::uint64_t>(1, 11));
 
 } // namespace crowlink::test
--- a/packages/agent/test/silent_owner_test.cpp
+++ b/packages/agent/test/silent_owner_test.cpp
@@ -21,11 +21,12 @@
 // Tells the agent that another one owns the flow of `continuing`.
 void tell_owner(agent_fixture& fixture, const flow_key& flow)
 {
-    fixture.tell(redirect_notice{service_id(5),
-                                 fixture.core->tag(),
-                                 agent_fixture::identity(owner),
-                                 std::chrono::minutes(10),
-                                 {owned_flow{flow, std::chrono::seconds(1)}}});
+    fixture.deliver_message(
+        redirect_notice{service_id(5),
+                        fixture.core->tag(),
+                        agent_fixture::identity(owner),
+                        std::chrono::minutes(10),
+                        {owned_flow{flow, std::chrono::seconds(1)}}});
 }
 
 void show_owner_as(agent_fixture& fixture, upstream_state state)
@@ -56,7 +57,7 @@
 
 // The lease of an upstream that is cut off from control expires while its flows
 // continue.
-TEST(silent_owner, is_still_sent_the_packets_of_its_flows)
+TEST(silent_owner, gets_the_packets_of_its_flows)
 {
     agent_fixture fixture(2);
     tell_owner(fixture, continuing(fixture).flow);
@@ -67,7 +68,7 @@
     EXPECT_TRUE(is_sent_to_owner(fixture));
 }
 
-TEST(silent_owner, one_that_has_ended_is_sent_nothing_more)
+TEST(silent_owner, ended_owner_gets_no_more_packets)
 {
     agent_fixture fixture(2);
     tell_owner(fixture, continuing(fixture).flow);
@@ -76,7 +77,7 @@
 }
 
 // The whole data centre is unreachable: no answer can be expected.
-TEST(silent_owner, a_caller_of_one_that_is_given_up_is_reset_at_once)
+TEST(silent_owner, caller_of_a_given_up_owner_is_reset_at_once)
 {
     agent_fixture fixture(2);
     tell_owner(fixture, continuing(fixture).flow);
@@ -90,7 +91,7 @@
               verdict::may_have_run);
 }
 
-TEST(silent_owner, a_caller_that_repeats_itself_in_vain_is_reset)
+TEST(silent_owner, caller_that_retransmits_is_reset)
 {
     agent_fixture fixture(2);
     const packet_header sent = continuing(fixture);
@@ -109,7 +110,7 @@
               verdict::may_have_run);
 }
 
-TEST(silent_owner, a_caller_that_acknowledges_is_served_and_left_alone)
+TEST(silent_owner, caller_that_acknowledges_is_not_reset)
 {
     agent_fixture fixture(2);
     const packet_header sent = continuing(fixture);
@@ -126,7 +127,7 @@
 }
 
 // An answer in one packet is acknowledged by the caller's next request.
-TEST(silent_owner, a_caller_that_goes_on_is_served_and_left_alone)
+TEST(silent_owner, caller_that_advances_is_not_reset)
 {
     agent_fixture fixture(2);
     const packet_header sent = continuing(fixture);
@@ -146,7 +147,7 @@
 }
 
 // A request in two packets, the first of which is retransmitted.
-TEST(silent_owner, a_copy_of_the_first_of_several_packets_is_a_repeat)
+TEST(silent_owner, copy_of_an_earlier_packet_counts_as_retransmission)
 {
     agent_fixture fixture(2);
     const packet_header sent = continuing(fixture);
@@ -162,7 +163,7 @@
     EXPECT_EQ(fixture.effects.caller_resets.size(), 1U);
 }
 
-TEST(silent_owner, nobody_is_reset_at_one_that_control_hears)
+TEST(silent_owner, caller_of_a_live_owner_is_not_reset)
 {
     agent_fixture fixture(2);
     const packet_header sent = continuing(fixture);
@@ -176,7 +177,7 @@
 }
 
 // An owner that was the head itself has published no redirects of its flows.
-TEST(silent_owner, is_asked_for_flows_that_nobody_knows)
+TEST(silent_owner, gets_packets_of_unknown_flows)
 {
     agent_fixture fixture(2);
     show_owner_as(fixture, upstream_state::silent);
--- a/packages/agent/test/tag_test.cpp
+++ b/packages/agent/test/tag_test.cpp
@@ -8,7 +8,7 @@
 {
 
 // Names and incarnations that differ in few bits, as within one deployment.
-TEST(tag, of_short_names_and_near_incarnations_differ)
+TEST(tag, differs_for_similar_names_and_incarnations)
 {
     std::set<upstream_tag> tags;
     for (std::uint64_t name = 0; name < 16; ++name)
--- a/packages/agent/test/full_of_work_test.cpp
+++ b/packages/agent/test/work_limit_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t waiting_callers = 90;
 constexpr duration run_time = milliseconds(35);
 constexpr duration caller_interval = milliseconds(15);
-constexpr duration played = std::chrono::seconds(6);
+constexpr duration simulated_time = std::chrono::seconds(6);
 constexpr std::uint32_t slots = 4;
 constexpr std::size_t upstream_queue = 16;
 // The times of a caller's copies of the opening packet; then it makes a new
@@ -26,14 +26,14 @@
 constexpr duration copies[] = {milliseconds(0), milliseconds(200),
                                milliseconds(600)};
 constexpr duration retry_pause = milliseconds(100);
-constexpr int most_tries = 3;
-constexpr duration aim = milliseconds(150);
+constexpr int max_attempts = 3;
+constexpr duration target_time = milliseconds(150);
 constexpr duration deadline = milliseconds(2500);
 
 struct outcome
 {
     std::size_t callers = 0;
-    std::size_t in_aim = 0;
+    std::size_t in_time = 0;
     std::size_t late = 0;
     // Attempts that the upstream itself rejected.
     std::size_t shed = 0;
@@ -41,10 +41,10 @@
 
 // Simulates one upstream with slots and a bounded queue behind the real
 // admission.
-class played_load
+class simulated_load
 {
 public:
-    explicit played_load(std::uint32_t work_per_slot)
+    explicit simulated_load(std::uint32_t work_per_slot)
         : m_admission(std::chrono::seconds(2), m_start, work_per_slot, slots)
     {
         service declared;
@@ -52,13 +52,13 @@
         m_admission.declare(declared, 100);
     }
 
-    outcome play()
+    outcome simulate()
     {
         for (std::size_t i = 0; i < waiting_callers; ++i)
         {
             ask(m_start, m_start, 1, 0);
         }
-        for (time_point at = m_start; at < m_start + played;
+        for (time_point at = m_start; at < m_start + simulated_time;
              at += caller_interval)
         {
             ask(at, at, 1, 0);
@@ -78,7 +78,7 @@
         time_point at;
         // The caller's first attempt; for the end of a run, that of its caller.
         time_point asked;
-        int tries = 0;
+        int attempts = 0;
         std::size_t copy = 0;
         bool ends = false;
 
@@ -88,9 +88,9 @@
         }
     };
 
-    void ask(time_point at, time_point asked, int tries, std::size_t copy)
+    void ask(time_point at, time_point asked, int attempts, std::size_t copy)
     {
-        m_events.push(event{at, asked, tries, copy, false});
+        m_events.push(event{at, asked, attempts, copy, false});
     }
 
     void take(const event& next)
@@ -100,7 +100,7 @@
             finish(next);
             return;
         }
-        m_outcome.callers += next.tries == 1 && next.copy == 0 ? 1 : 0;
+        m_outcome.callers += next.attempts == 1 && next.copy == 0 ? 1 : 0;
         if (m_admission.can_admit(next.at, 0))
         {
             reach(next);
@@ -110,7 +110,7 @@
         if (will_retransmit)
         {
             ask(next.at - copies[next.copy] + copies[next.copy + 1], next.asked,
-                next.tries, next.copy + 1);
+                next.attempts, next.copy + 1);
             return;
         }
         retry(next);
@@ -149,8 +149,8 @@
         --m_running;
         m_admission.ended(done.at, 1, true);
         const duration took = done.at - done.asked;
-        m_outcome.in_aim += took <= aim ? 1 : 0;
-        m_outcome.late += took > aim && took <= deadline ? 1 : 0;
+        m_outcome.in_time += took <= target_time ? 1 : 0;
+        m_outcome.late += took > target_time && took <= deadline ? 1 : 0;
         if (!m_queue.empty())
         {
             event next = m_queue.front();
@@ -164,9 +164,9 @@
     void retry(const event& next)
     {
         const time_point again = next.at + retry_pause;
-        if (next.tries < most_tries && again - next.asked < deadline)
+        if (next.attempts < max_attempts && again - next.asked < deadline)
         {
-            ask(again, next.asked, next.tries + 1, 0);
+            ask(again, next.asked, next.attempts + 1, 0);
         }
     }
 
@@ -179,30 +179,30 @@
 };
 
 // Late answers count for 0.3 of those in time.
-double worth(const outcome& got)
+double score(const outcome& got)
 {
-    return (static_cast<double>(got.in_aim) +
+    return (static_cast<double>(got.in_time) +
             0.3 * static_cast<double>(got.late)) /
            static_cast<double>(got.callers);
 }
 
 } // namespace
 
-TEST(full_of_work, callers_get_more_than_without_a_bound)
+TEST(work_limit, serves_more_callers_in_time_than_without_a_limit)
 {
-    const outcome naive = played_load(0).play();
-    const outcome bounded = played_load(4).play();
+    const outcome naive = simulated_load(0).simulate();
+    const outcome bounded = simulated_load(4).simulate();
     EXPECT_EQ(naive.callers, bounded.callers);
     EXPECT_GT(naive.shed, 0U);
     EXPECT_EQ(bounded.shed, 0U);
-    EXPECT_GE(bounded.in_aim, naive.in_aim);
-    EXPECT_EQ(bounded.in_aim + bounded.late, bounded.callers);
-    EXPECT_GT(worth(bounded), worth(naive));
-    RecordProperty("naive", std::to_string(worth(naive)));
-    RecordProperty("bounded", std::to_string(worth(bounded)));
+    EXPECT_GE(bounded.in_time, naive.in_time);
+    EXPECT_EQ(bounded.in_time + bounded.late, bounded.callers);
+    EXPECT_GT(score(bounded), score(naive));
+    RecordProperty("naive", std::to_string(score(naive)));
+    RecordProperty("bounded", std::to_string(score(bounded)));
 }
 
-TEST(full_of_work, a_caller_that_comes_again_is_not_refused_yet)
+TEST(work_limit, defers_callers_that_will_retransmit)
 {
     agent_settings settings;
     settings.self = agent_fixture::member(0);
