--- a/packages/agent/src/agent_packets.cpp
+++ b/packages/agent/src/agent_packets.cpp
@@ -1,23 +1,23 @@
 #include "crowlink/agent/agent.hpp"
 #include "crowlink/agent/chain_walk.hpp"
-#include "crowlink/agent/hand_on_opening.hpp"
+#include "crowlink/agent/forward_opening.hpp"
 
 namespace crowlink
 {
 
 agent::route agent::route_of(time_point now, const packet_arrived& event)
 {
-    if (names_former_life(event.header))
+    if (is_for_former_incarnation(event.header))
     {
-        return route_of_former_life(now, event);
+        return route_of_former_incarnation(now, event);
     }
-    if (!is_for_this(event))
+    if (!is_addressed_here(event))
     {
-        pass_by(event);
+        forward_misaddressed(event);
         return route::elsewhere;
     }
     internal::flow_entry* entry = m_flows.find(event.header.flow);
-    if (entry != nullptr && is_new_again(*entry, event) &&
+    if (entry != nullptr && reuses_closed_flow(*entry, event) &&
         !m_admission.can_admit(now, m_flows.open_count()))
     {
         end_flow(event.header.flow, "no_room");
@@ -38,27 +38,27 @@
     return route::deliver;
 }
 
-// Whether the packet is for an upstream that ran beside this agent before the
-// present one. Whoever sent it has not heard of the present one yet.
-bool agent::names_former_life(const packet_header& header) const
+// Whether the packet is for an earlier incarnation of this agent's upstream.
+// Its sender has not learned of the present one yet.
+bool agent::is_for_former_incarnation(const packet_header& header) const
 {
-    // A datagram does not tell whether it belongs to a flow of before.
-    const bool is_told = header.role == packet_role::opens ||
-                         header.role == packet_role::continues;
+    // A datagram does not show whether it belongs to an earlier flow.
+    const bool is_role_certain = header.role == packet_role::opens ||
+                                 header.role == packet_role::continues;
     const candidate* const addressed =
         internal::candidate_at(header, header.position);
-    return is_told && addressed != nullptr &&
+    return is_role_certain && addressed != nullptr &&
            header.service == m_record.service &&
            addressed->agent == m_self.agent && addressed->tag != m_tag;
 }
 
-// The present upstream serves new flows as well as the former one would, and
-// whether another one has an old flow is found out as for any unknown flow.
-agent::route agent::route_of_former_life(time_point now,
-                                         const packet_arrived& event)
+// The present upstream can serve new flows in place of its earlier incarnation,
+// and the owner of an old flow is looked for as for any unknown flow.
+agent::route agent::route_of_former_incarnation(time_point now,
+                                                const packet_arrived& event)
 {
     packet_header header = event.header;
-    ++m_counts.former_life;
+    ++m_counts.former_incarnation;
     const bool is_known = m_flows.find(header.flow) != nullptr;
     if (header.pass == packet_pass::walk && !is_known &&
         header.hops < internal::hop_limit)
@@ -68,19 +68,19 @@
         send_batch();
         return route::elsewhere;
     }
-    (void)internal::replace_former_life(header, m_self);
+    (void)internal::replace_former_incarnation(header, m_self);
     return route_of(now, packet_arrived{header, event.payload, event.need,
-                                        event.finishes, event.comes_again,
+                                        event.finishes, event.will_retransmit,
                                         event.sequence});
 }
 
-// An opening packet that came here by mistake goes to the next candidate, so
-// that its caller need not wait to send it once more.
-void agent::pass_by(const packet_arrived& event)
+// Forwards an opening packet that arrived here by mistake to the next
+// candidate, so that its caller need not wait for its own retransmission.
+void agent::forward_misaddressed(const packet_arrived& event)
 {
     packet_header header = event.header;
     if (header.hops >= internal::hop_limit ||
-        !hand_on_opening(header, m_self.agent))
+        !forward_opening(header, m_self.agent))
     {
         return;
     }
@@ -91,19 +91,19 @@
            "not_the_candidate");
 }
 
-// Whether a caller uses the addresses of a flow that has ended for a new one.
-bool agent::is_new_again(const internal::flow_entry& entry,
-                         const packet_arrived& event)
+// Whether a caller reuses the addresses of a finished flow for a new one.
+bool agent::reuses_closed_flow(const internal::flow_entry& entry,
+                               const packet_arrived& event)
 {
     return entry.lingering && event.header.role == packet_role::opens;
 }
 
-bool agent::is_for_this(const packet_arrived& event)
+bool agent::is_addressed_here(const packet_arrived& event)
 {
     const packet_header& header = event.header;
-    // A flow that is open stays with its upstream when its address moves to
-    // another service: what surely belongs to a connection is taken by tag.
-    // New flows are admitted by agents of the header's service alone.
+    // An open flow stays with its upstream when its address moves to another
+    // service: packets that certainly belong to a connection are accepted by
+    // tag. New flows are admitted only by agents of the header's service.
     const bool may_be_older = header.role != packet_role::any &&
                               header.pass != packet_pass::admit &&
                               header.pass != packet_pass::place;
@@ -130,7 +130,7 @@
                           const packet_arrived& event)
 {
     ++m_counts.delivered;
-    if (is_new_again(entry, event))
+    if (reuses_closed_flow(entry, event))
     {
         m_admission.admitted(now);
         reopen(entry);
@@ -141,7 +141,8 @@
         check_redirects(now, entry, false);
         send_batch();
     }
-    // The walk over flows that have not been checked must still meet this one.
+    // An unchecked flow keeps its position, so that the iteration over
+    // unchecked flows still reaches it.
     if (entry.checked == m_check)
     {
         m_flows.touch(entry, now);
@@ -153,7 +154,7 @@
     }
     if (event.header.hops > 0)
     {
-        tell_head(now, entry, event.header);
+        notify_head(now, entry, event.header);
     }
     note_caller_packet(now, entry, event.need);
     if (event.finishes && !entry.caller_finished)
--- a/packages/agent/src/agent_search.cpp
+++ b/packages/agent/src/agent_search.cpp
@@ -7,23 +7,24 @@
 namespace crowlink
 {
 
-// Who sends a packet of a flow that nobody on its way knows? Either an agent
-// beyond its chains has the flow, or its upstream is gone and the caller waits
-// in vain until its own deadline. The search tells the two apart: every member
-// of the service is asked. One whose agent has restarted may not know; it gets
-// the packet and tries its upstream, which returns what it does not hold. Once
-// every member has denied the flow, the caller is reset.
+// A packet of a flow that no agent on its path knows has two possible reasons:
+// an agent outside its chains has the flow, or the flow's upstream has ended
+// and the caller would wait for its own timeout. The search distinguishes them
+// by asking every member of the service. A member whose agent has restarted may
+// not know; it gets the packet and tries its upstream, which returns packets of
+// flows that it does not hold. When every member has denied the flow, the
+// caller is reset.
 void agent::start_search(time_point now, const packet_header& header,
                          const packet_arrived& event)
 {
-    // Where all that are silent are out of this host's own reach, it need not
-    // wait for the caller's repetition to know that nobody there answers.
+    // If all silent members are also unreachable from this host, the flow
+    // counts as unserved without a retransmission.
     const bool is_given_up =
         m_members.has_given_up_silent() && event.need == answer_need::required;
-    const bool waits_in_vain =
+    const bool is_unserved =
         is_given_up ||
-        (!m_members.silent_members().empty() && gives_up(now, event));
-    if (!m_search.add(now, header, event.payload, waits_in_vain))
+        (!m_members.silent_members().empty() && caller_retransmits(now, event));
+    if (!m_search.add(now, header, event.payload, is_unserved))
     {
         ++m_counts.searches_omitted;
         return;
@@ -61,7 +62,7 @@
     }
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const owner_question& message)
 {
     owner_answer told{m_record.service, message.sender.tag, m_self, {}};
@@ -73,12 +74,13 @@
     send(message.sender.agent, std::move(told));
 }
 
-// Nobody else can answer for an upstream that ran here before: it took its
-// flows with it. Whoever asks has not heard of its end yet. Where the present
-// life is not known by its name yet, the question may be meant for it.
-void agent::answer_for_former_life(const owner_question& message)
+// Answers for an earlier incarnation of the upstream, whose flows ended with
+// it, because no other agent can. The sender has not learned of its end yet.
+// While the present incarnation is not known for certain, the question may be
+// meant for it.
+void agent::answer_for_former_incarnation(const owner_question& message)
 {
-    if (m_is_life_uncertain)
+    if (m_is_incarnation_uncertain)
     {
         ++m_counts.wrong_tag;
         return;
@@ -99,21 +101,21 @@
     {
         return ownership::owned;
     }
-    const bool any_is_possible = now < m_may_have_until;
+    const bool any_is_possible = now < m_may_hold_until;
     const bool is_possible =
         any_is_possible ||
-        (now < m_adopt_old_until && m_members.names(now, flow, m_self));
+        (now < m_adopt_old_until && m_members.lists(now, flow, m_self));
     return is_possible && !m_returned.holds(flow) ? ownership::possible
                                                   : ownership::none;
 }
 
-void agent::take_in(time_point now, const endpoint&,
+void agent::receive(time_point now, const endpoint&,
                     const owner_answer& message)
 {
-    m_inquiry.heard(message.sender.tag);
+    m_silent_query.note_answer(message.sender.tag);
     for (const stated_ownership& each : message.flows)
     {
-        take_silent_answer(message.sender, each);
+        receive_silent_answer(message.sender, each);
         const internal::searched_flow* searched = m_search.find(each.flow);
         if (searched == nullptr)
         {
@@ -125,7 +127,8 @@
             m_search.denied(each.flow, message.sender.tag);
             break;
         case ownership::possible:
-            // Beyond the bound it says so again in the next round.
+            // Beyond the limit the copy is sent when the member answers the
+            // same in the next round.
             if (m_copies_left > 0)
             {
                 --m_copies_left;
@@ -138,16 +141,16 @@
         }
     }
     end_searches(now);
-    end_inquiries(now);
+    end_silent_queries(now);
 }
 
-// A copy of the packet came to this agent alone, which may have its flow.
+// Handles a copy that was sent to this agent alone, as a possible owner.
 void agent::search(time_point now, const packet_header& header,
                    const packet_arrived& event)
 {
     if (may_adopt(now, header, false))
     {
-        take(now, header, event, flow_action::adopted, "searched_for");
+        accept_flow(now, header, event, flow_action::adopted, "searched_for");
         return;
     }
     if (ownership_of(now, header.flow) == ownership::none)
@@ -156,7 +159,7 @@
     }
 }
 
-// Tells whoever sent a copy that this agent does not have the flow.
+// Tells the sender of a copy that this agent does not have the flow.
 void agent::deny(const packet_header& header)
 {
     if (header.previous.empty())
@@ -169,8 +172,8 @@
          owner_answer{m_record.service, asker.tag, m_self, {state}});
 }
 
-// The copy goes no further than to its receiver, which finds the sender in its
-// previous chain.
+// The copy is not forwarded beyond its receiver, which finds the sender in the
+// copy's previous chain.
 void agent::send_copy(const internal::searched_flow& searched,
                       const candidate& to, std::string_view reason)
 {
@@ -192,9 +195,10 @@
     m_ended_searches.push_back(std::move(searched));
     const internal::searched_flow& ended = m_ended_searches.back();
     packet_header sent = ended.header;
-    // Not as from a head that knows the owner: it is to be told.
+    // A hop count other than that of a head that knows the owner, so that the
+    // owner notifies the head.
     sent.hops = 1;
-    internal::look_up_at(sent, owner);
+    internal::address_lookup_to(sent, owner);
     ++m_counts.redirected;
     forward(sent, packet_arrived{ended.header, ended.payload},
             flow_action::redirected, "owner_answered");
@@ -213,12 +217,12 @@
     }
 }
 
-// Those that control does not hear may have the flow and serve it: each gets a
-// copy, and only a caller that repeats itself all the same is reset.
+// Silent members may have the flow and serve it: each gets a copy, and the
+// caller is reset only if it still retransmits.
 void agent::end_search(const internal::searched_flow& searched)
 {
     const std::vector<candidate> silent = m_members.silent_members();
-    if (!silent.empty() && searched.waits_in_vain)
+    if (!silent.empty() && searched.is_unserved)
     {
         reset_silent(searched.header, searched.payload);
         return;
@@ -251,24 +255,25 @@
                        });
 }
 
-// Whether a caller waits in vain for a flow that was sent to silent upstreams.
-bool agent::gives_up(time_point now, const packet_arrived& event)
+// Whether a caller retransmits on a flow whose packets were sent to silent
+// upstreams.
+bool agent::caller_retransmits(time_point now, const packet_arrived& event)
 {
     const flow_key& flow = event.header.flow;
     if (event.need == answer_need::required)
     {
-        return m_repeated.sent(now, flow, event.sequence);
+        return m_retransmissions.note_data(now, flow, event.sequence);
     }
     if (event.need == answer_need::none)
     {
-        m_repeated.acknowledged(flow);
+        m_retransmissions.acknowledged(flow);
     }
     return false;
 }
 
 void agent::reset_silent(const packet_header& header, payload_view payload)
 {
-    m_repeated.forget(header.flow);
+    m_retransmissions.forget(header.flow);
     ++m_counts.upstream_silent;
     const flow_refusal told{verdict::may_have_run,
                             refusal_reason::upstream_failed, duration::zero()};
--- a/packages/agent/src/agent_walk.cpp
+++ b/packages/agent/src/agent_walk.cpp
@@ -9,12 +9,12 @@
 using internal::redirect_kind;
 
 void agent::start_walk(time_point now, packet_header header,
-                       const packet_arrived& event, inquiry asked)
+                       const packet_arrived& event, silent_query asked)
 {
-    internal::drop_repeated(header);
-    m_members.widen(header, now);
-    if (asked == inquiry::due && passes_silent(header) &&
-        ask_silent(now, header, event))
+    internal::remove_duplicates(header);
+    m_members.add_known_candidates(header, now);
+    if (asked == silent_query::due && skips_silent(header) &&
+        query_silent_members(now, header, event))
     {
         return;
     }
@@ -31,14 +31,15 @@
     forward(header, event, flow_action::looked_up, "owner_unknown");
 }
 
-// Agents are met in one order, and each packet goes where the one before it
-// went as well as along its own chains. So two packets whose chains share an
-// agent end up at the same last one, and that one decides. What an agent on
-// the way knows beyond the packet's chains joins them. A former life of the
-// upstream keeps its own place in that order, so that none is met twice.
+// Walks visit agents in one fixed order, and each packet follows the path of
+// the one before it as well as its own chains. Two packets whose chains share
+// an agent therefore end at the same last agent, and that one decides.
+// Candidates that an agent on the path knows beyond the packet's chains are
+// added to them. An earlier incarnation of the upstream keeps its own position
+// in the order, so that none is visited twice.
 void agent::walk(time_point now, packet_header header,
                  const packet_arrived& event, const candidate& as,
-                 inquiry asked)
+                 silent_query asked)
 {
     internal::address_to(header, as);
     const bool is_likely_owner =
@@ -50,17 +51,17 @@
         header.best = header.position;
     }
     const candidate_chain known_before = header.previous;
-    m_members.widen(header, now);
-    if (asked == inquiry::due && passes_silent(header) &&
-        ask_silent(now, header, event))
+    m_members.add_known_candidates(header, now);
+    if (asked == silent_query::due && skips_silent(header) &&
+        query_silent_members(now, header, event))
     {
         return;
     }
-    const internal::redirect_entry* mark = m_redirects.find(header.flow, now);
-    if (mark != nullptr && mark->kind == redirect_kind::walked &&
+    const internal::redirect_entry* hint = m_redirects.find(header.flow, now);
+    if (hint != nullptr && hint->kind == redirect_kind::walked &&
         internal::may_open(header.role))
     {
-        internal::add_on_walk(header, mark->to);
+        internal::add_on_walk(header, hint->to);
     }
     const candidate* missed = missed_on_walk(header, known_before, as);
     const std::uint64_t here =
@@ -75,15 +76,15 @@
     const candidate to = *next;
     if (missed == nullptr)
     {
-        leave_mark(now, header, to, redirect_kind::walked);
+        record_hint(now, header, to, redirect_kind::walked);
     }
     internal::address_to(header, to);
     ++m_counts.looked_up;
     forward(header, event, flow_action::looked_up, "owner_unknown");
 }
 
-// The first of those that joined the packet's chains here and come before
-// this agent in the order of the walk; the walk goes on from there.
+// The first of the candidates that were added here and precede this agent in
+// the order of the walk; the walk continues from it.
 const candidate* agent::missed_on_walk(const packet_header& header,
                                        const candidate_chain& before,
                                        const candidate& as) const
@@ -96,7 +97,8 @@
         const bool is_new =
             std::find(before.begin(), before.end(), next) == before.end();
         const std::uint64_t order = internal::walk_order(hash, next);
-        if (is_new && order < first_order && !m_members.is_gone(next.tag))
+        if (is_new && order < first_order &&
+            !m_members.is_unavailable(next.tag))
         {
             first = &next;
             first_order = order;
@@ -117,7 +119,7 @@
         const candidate* next = internal::candidate_at(header, i);
         const std::uint64_t order = internal::walk_order(hash, *next);
         const bool is_nearer = best == nullptr || order < best_order;
-        if (order > after && is_nearer && !m_members.is_gone(next->tag))
+        if (order > after && is_nearer && !m_members.is_unavailable(next->tag))
         {
             best = next;
             best_order = order;
@@ -127,7 +129,7 @@
 }
 
 void agent::end_walk(time_point now, packet_header header,
-                     const packet_arrived& event, inquiry asked)
+                     const packet_arrived& event, silent_query asked)
 {
     if (header.best != packet_header::no_position)
     {
@@ -139,7 +141,7 @@
             place(now, header, event);
             return;
         }
-        leave_mark(now, header, adopter, redirect_kind::chosen);
+        record_hint(now, header, adopter, redirect_kind::chosen);
         forward(header, event, flow_action::looked_up, "may_adopt");
         return;
     }
--- a/packages/agent/test/failure_test.cpp
+++ b/packages/agent/test/failure_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST(failure, of_an_upstream_is_told_at_once_and_moves_no_other_flow)
+TEST(failure, upstream_failure_resets_its_callers_and_moves_no_other_flow)
 {
     mesh net(defaults());
     open(net, 100);
@@ -66,17 +66,17 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-TEST(failure, of_a_balancer_breaks_no_flow_and_answers_find_another)
+TEST(failure, balancer_failure_breaks_no_flow_and_answers_use_another)
 {
     mesh net(defaults());
     open(net, 50);
     net.kill_balancer(0);
     net.run(3s);
-    // An upstream speaks first on a flow that came through the dead balancer.
+    // The upstream sends first on a flow that came through the failed balancer.
     for (std::uint32_t flow = 0; flow < 50; ++flow)
     {
         const auto before = net.caller(flow).answered;
-        net.push(flow);
+        net.send_from_upstream(flow);
         EXPECT_EQ(net.caller(flow).answered, before + 1) << flow;
     }
     for (int round = 0; round < 20; ++round)
@@ -94,17 +94,17 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-// A host comes back under the same address as another upstream: nothing of an
-// old flow is delivered to it, whoever still thinks that it is the old one.
-TEST(failure, another_upstream_at_the_same_address_gets_no_old_packet)
+// A host returns with another upstream at the same address: packets of earlier
+// flows are not delivered to it, even by nodes that don't know of the change.
+TEST(failure, new_upstream_at_the_same_address_gets_no_earlier_packet)
 {
     mesh net(defaults());
     open(net, 100);
     const std::size_t dead = net.owners(0).front();
     net.kill_upstream(dead);
-    net.revive_as_another(dead);
-    // Balancers learn of it within two seconds; until then they use the tag of
-    // the life before.
+    net.start_new_incarnation(dead);
+    // Balancers learn of the change within two seconds; until then they use the
+    // tag of the earlier incarnation.
     for (int round = 0; round < 20; ++round)
     {
         for (std::uint32_t flow = 0; flow < 100; ++flow)
@@ -117,7 +117,7 @@
     EXPECT_EQ(net.misplaced, 0U);
 }
 
-TEST(failure, a_restarted_agent_adopts_tcp_flows_that_its_upstream_still_knows)
+TEST(failure, restarted_agent_adopts_the_tcp_flows_of_its_upstream)
 {
     mesh net(defaults());
     net.run(12s);
@@ -144,7 +144,7 @@
     EXPECT_EQ(net.total().unknown_flows, 0U);
 }
 
-TEST(failure, packets_of_a_tcp_flow_that_nobody_knows_are_reset)
+TEST(failure, unknown_tcp_flows_are_reset)
 {
     mesh net(defaults());
     net.run(12s);
--- a/packages/agent/test/refusal_test.cpp
+++ b/packages/agent/test/refusal_test.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// What was refused as "not run" is in no upstream's own record.
-TEST(refusal, not_run_holds_against_the_upstreams_record)
+// Requests refused as "not run" are in no upstream's own record.
+TEST(refusal, not_run_requests_never_reached_an_upstream)
 {
     mesh net(small(5));
     net.run(12s);
@@ -46,13 +46,14 @@
             ++refused;
         }
     }
-    // Seven upstreams of five places, not all of which each chain reaches.
+    // Seven upstreams with five connections each, not all of which every chain
+    // reaches.
     EXPECT_GE(refused, 165U);
     EXPECT_LE(refused, 175U);
 }
 
-// From the moment that an agent knows of its leaving, no new flow comes in.
-TEST(refusal, a_leaving_upstream_gets_no_new_flow_and_keeps_its_own)
+// As soon as an agent knows that it leaves, it admits no new flow.
+TEST(refusal, leaving_upstream_gets_no_new_flow_and_keeps_its_own)
 {
     mesh net(small(2000));
     net.run(12s);
@@ -75,7 +76,7 @@
     EXPECT_EQ(net.total().refused, 0U);
 }
 
-TEST(refusal, with_every_upstream_leaving_a_flow_is_refused_at_once)
+TEST(refusal, flow_is_refused_at_once_when_all_upstreams_leave)
 {
     mesh net(small(2000));
     net.run(12s);
--- a/packages/agent/test/searched_service.hpp
+++ b/packages/agent/test/searched_service.hpp
@@ -10,8 +10,8 @@
 namespace crowlink::test
 {
 
-// All agents of a service, each with an upstream that returns what it does not
-// hold. Packets go from one to the next at once.
+// All agents of a service, each with an upstream that returns packets of flows
+// that it does not hold. Packets are forwarded without delay.
 class searched_service
 {
 public:
@@ -19,7 +19,7 @@
 
     explicit searched_service(duration age = std::chrono::seconds(60),
                               std::size_t count = members)
-        : cut_off(count)
+        : unreachable_member(count)
     {
         m_view = std::make_shared<service_view>();
         m_view->declared.id = service_id(5);
@@ -28,7 +28,7 @@
         {
             m_view->members.push_back(agent_fixture::member(i));
         }
-        // As views are: by name.
+        // Views list their members by name.
         std::sort(m_view->members.begin(), m_view->members.end(),
                   [](const upstream_record& one, const upstream_record& two)
                   { return one.id < two.id; });
@@ -39,15 +39,16 @@
         pass(age);
     }
 
-    // The agent starts anew, beside an upstream that lived on or a new one.
-    void restart(std::size_t index, bool lived_on, bool is_young = false)
+    // Restarts the agent, beside a running upstream or a new one.
+    void restart(std::size_t index, bool was_running,
+                 bool has_just_started = false)
     {
         agent_settings settings;
         settings.self = agent_fixture::member(index);
         m_cores[index] = std::make_unique<agent>(settings, m_now);
-        if (lived_on)
+        if (was_running)
         {
-            handle(index, upstream_lived_on{is_young});
+            handle(index, upstream_survived{has_just_started});
         }
         handle(index, view_changed{m_view});
     }
@@ -83,7 +84,8 @@
         }
     }
 
-    // A caller's packet, handed to the head of the flow's chain by a balancer.
+    // Sends a caller's packet to the head of the flow's chain, as a balancer
+    // does.
     void send(std::uint16_t number,
               const candidate_chain& previous = candidate_chain())
     {
@@ -99,8 +101,9 @@
         arrive(made.current[0].agent, made);
     }
 
-    // The agent was told, some time ago, that the flow is with another one.
-    void tell(std::size_t index, std::size_t owner, std::uint16_t number)
+    // Gives the agent a redirect of the flow to another agent.
+    void deliver_redirect(std::size_t index, std::size_t owner,
+                          std::uint16_t number)
     {
         flow_key flow = agent_fixture::flow(number);
         flow.protocol = transport::tcp;
@@ -122,7 +125,7 @@
         return sum;
     }
 
-    // The upstream holds the flow, whatever its agent knows.
+    // Makes the upstream hold the flow, whether or not its agent knows it.
     void hold(std::size_t index, std::uint16_t number)
     {
         flow_key flow = agent_fixture::flow(number);
@@ -130,8 +133,9 @@
         m_held[flow] = index;
     }
 
-    // The last member that a search for the flow meets has no later one.
-    std::size_t cut_off;
+    // The member that gets no packets or messages; the number of members if
+    // there is none.
+    std::size_t unreachable_member;
     std::size_t resets = 0;
     // Packets that reached an upstream which does not hold their flow.
     std::size_t tried = 0;
@@ -145,7 +149,7 @@
     {
         for (std::size_t i = 0; i < m_cores.size(); ++i)
         {
-            if (agent_fixture::address(i) == to && i != cut_off)
+            if (agent_fixture::address(i) == to && i != unreachable_member)
             {
                 handle(i, packet_arrived{header, {}, answer_need::required});
             }
@@ -170,14 +174,14 @@
         }
         for (const auto& [to, message] : effects.sent)
         {
-            tell_peer(index, to, message);
+            deliver_to_peer(index, to, message);
         }
     }
 
-    // Loads and redirects are left out: what agents know of flows is what the
-    // test told them.
-    void tell_peer(std::size_t from, const endpoint& to,
-                   const peer_message& message)
+    // Loads and redirects are dropped: agents know only the redirects that the
+    // test gives them.
+    void deliver_to_peer(std::size_t from, const endpoint& to,
+                         const peer_message& message)
     {
         const bool is_search =
             std::holds_alternative<owner_question>(message) ||
@@ -189,7 +193,7 @@
         ++messages;
         for (std::size_t i = 0; i < m_cores.size(); ++i)
         {
-            if (agent_fixture::address(i) == to && i != cut_off)
+            if (agent_fixture::address(i) == to && i != unreachable_member)
             {
                 const endpoint sender = agent_fixture::address(from);
                 handle(i, message_arrived{sender, message});
--- a/packages/agent/test/shedding_test.cpp
+++ b/packages/agent/test/shedding_test.cpp
@@ -1,7 +1,7 @@
 #include "agent_fixture.hpp"
 #include "crowlink/agent/load_units.hpp"
-#include "crowlink/agent/progress_judge.hpp"
-#include "crowlink/agent/shed_warden.hpp"
+#include "crowlink/agent/progress_monitor.hpp"
+#include "crowlink/agent/shed_coordinator.hpp"
 
 #include <gtest/gtest.h>
 
@@ -18,111 +18,114 @@
 
 } // namespace
 
-TEST(shedding, a_cold_upstream_warms_with_time_and_answers)
+TEST(shedding, cold_upstream_warms_up_with_time_and_answers)
 {
-    internal::progress_judge judge(2s, start);
-    judge.assess(start, false, 10s);
-    EXPECT_EQ(judge.share(), full_share / 10);
+    internal::progress_monitor monitor(2s, start);
+    monitor.assess(start, false, 10s);
+    EXPECT_EQ(monitor.share(), full_share / 10);
     for (int i = 0; i < 16; ++i)
     {
-        judge.progressed(start + 5s);
+        monitor.progressed(start + 5s);
     }
-    judge.assess(start + 5s, false, 10s);
-    EXPECT_NEAR(judge.share(), 550000, 1000);
-    // Time alone does not warm an upstream that is asked and never answers.
-    internal::progress_judge deaf(2s, start);
-    deaf.assess(start + 60s, true, 10s);
-    EXPECT_EQ(deaf.share(), full_share / 10);
+    monitor.assess(start + 5s, false, 10s);
+    EXPECT_NEAR(monitor.share(), 550000, 1000);
+    // Time alone does not warm up an upstream that gets requests and never
+    // answers.
+    internal::progress_monitor unanswering(2s, start);
+    unanswering.assess(start + 60s, true, 10s);
+    EXPECT_EQ(unanswering.share(), full_share / 10);
 }
 
-TEST(shedding, a_stalled_upstream_falls_and_one_that_answers_recovers)
+TEST(shedding, share_falls_on_a_stall_and_recovers_with_answers)
 {
-    internal::progress_judge judge(2s, start);
-    judge.assume_warm();
-    judge.progressed(start);
+    internal::progress_monitor monitor(2s, start);
+    monitor.assume_warm();
+    monitor.progressed(start);
     time_point now = start;
-    judge.assess(now, true, 10s);
-    EXPECT_EQ(judge.share(), full_share);
+    monitor.assess(now, true, 10s);
+    EXPECT_EQ(monitor.share(), full_share);
     for (int i = 0; i < 5; ++i)
     {
         now += 2s;
-        judge.assess(now, true, 10s);
+        monitor.assess(now, true, 10s);
     }
-    EXPECT_TRUE(judge.wants_to_shed());
-    EXPECT_LE(judge.share(), full_share / 8);
-    // Hysteresis: the first sign of life doesn't end it, more do.
-    judge.progressed(now);
-    judge.assess(now, true, 10s);
-    EXPECT_TRUE(judge.wants_to_shed());
+    EXPECT_TRUE(monitor.wants_to_shed());
+    EXPECT_LE(monitor.share(), full_share / 8);
+    // Hysteresis: the first answer does not end shedding, several do.
+    monitor.progressed(now);
+    monitor.assess(now, true, 10s);
+    EXPECT_TRUE(monitor.wants_to_shed());
     for (int i = 0; i < 3; ++i)
     {
-        judge.progressed(now);
-        judge.assess(now, true, 10s);
+        monitor.progressed(now);
+        monitor.assess(now, true, 10s);
     }
-    EXPECT_FALSE(judge.wants_to_shed());
+    EXPECT_FALSE(monitor.wants_to_shed());
 }
 
-TEST(shedding, at_most_a_third_gets_leave_also_across_wardens)
+TEST(shedding, at_most_a_third_gets_permission_even_across_coordinators)
 {
-    internal::shed_warden warden(5s);
-    warden.appoint(start, true);
-    EXPECT_FALSE(warden.grant(start + 9s, 1, 7));
+    internal::shed_coordinator coordinator(5s);
+    coordinator.set_coordinator(start, true);
+    EXPECT_FALSE(coordinator.grant(start + 9s, 1, 7));
     const time_point now = start + 10s;
-    EXPECT_TRUE(warden.grant(now, 1, 7));
-    EXPECT_TRUE(warden.grant(now, 2, 7));
-    EXPECT_FALSE(warden.grant(now, 3, 7));
-    EXPECT_TRUE(warden.grant(now, 1, 7));
-    EXPECT_TRUE(warden.grant(now + 6s, 3, 7));
-    EXPECT_FALSE(warden.grant(now + 6s, 4, 2));
+    EXPECT_TRUE(coordinator.grant(now, 1, 7));
+    EXPECT_TRUE(coordinator.grant(now, 2, 7));
+    EXPECT_FALSE(coordinator.grant(now, 3, 7));
+    EXPECT_TRUE(coordinator.grant(now, 1, 7));
+    EXPECT_TRUE(coordinator.grant(now + 6s, 3, 7));
+    EXPECT_FALSE(coordinator.grant(now + 6s, 4, 2));
 }
 
-TEST(shedding, without_leave_a_stalled_upstream_still_takes_flows)
+TEST(shedding, stalled_upstream_without_permission_still_admits_flows)
 {
     for (const bool granted : {false, true})
     {
-        agent_fixture one(7);
-        one.call(1);
-        one.answer(1);
+        agent_fixture fixture(7);
+        fixture.call(1);
+        fixture.answer(1);
         for (int i = 0; i < 100; ++i)
         {
-            one.call(1);
-            one.advance(200ms);
+            fixture.call(1);
+            fixture.advance(200ms);
             if (granted)
             {
-                one.tell(shed_grant{service_id(5), one.core->tag(), 5s});
+                fixture.deliver_message(
+                    shed_grant{service_id(5), fixture.core->tag(), 5s});
             }
         }
-        EXPECT_EQ(one.core->sheds(one.now), granted);
-        // The first one is the trial; the second shows the difference.
-        one.call(2);
-        one.call(3);
-        EXPECT_TRUE(one.core->owns(agent_fixture::flow(2)));
-        EXPECT_EQ(one.core->owns(agent_fixture::flow(3)), !granted);
-        EXPECT_EQ(one.effects.refusals.size(), granted ? 1U : 0U);
+        EXPECT_EQ(fixture.core->sheds(fixture.now), granted);
+        // The first flow is the trial; the second shows the difference.
+        fixture.call(2);
+        fixture.call(3);
+        EXPECT_TRUE(fixture.core->owns(agent_fixture::flow(2)));
+        EXPECT_EQ(fixture.core->owns(agent_fixture::flow(3)), !granted);
+        EXPECT_EQ(fixture.effects.refusals.size(), granted ? 1U : 0U);
     }
 }
 
-TEST(shedding, an_upstream_recovers_by_its_trials)
+TEST(shedding, upstream_recovers_through_trial_flows)
 {
-    agent_fixture one(7);
-    one.call(1);
-    one.answer(1);
+    agent_fixture fixture(7);
+    fixture.call(1);
+    fixture.answer(1);
     std::uint16_t next = 2;
     for (int i = 0; i < 100; ++i)
     {
-        one.call(1);
-        one.advance(200ms);
-        one.tell(shed_grant{service_id(5), one.core->tag(), 5s});
+        fixture.call(1);
+        fixture.advance(200ms);
+        fixture.deliver_message(
+            shed_grant{service_id(5), fixture.core->tag(), 5s});
     }
-    ASSERT_TRUE(one.core->sheds(one.now));
+    ASSERT_TRUE(fixture.core->sheds(fixture.now));
     for (int i = 0; i < 10; ++i)
     {
-        one.call(next);
-        one.answer(next);
+        fixture.call(next);
+        fixture.answer(next);
         ++next;
-        one.advance(1s);
+        fixture.advance(1s);
     }
-    EXPECT_FALSE(one.core->sheds(one.now));
+    EXPECT_FALSE(fixture.core->sheds(fixture.now));
 }
 
 } // namespace crowlink::test
--- a/packages/agent/test/full_of_work_test.cpp
+++ b/packages/agent/test/work_limit_test.cpp
@@ -13,36 +13,38 @@
 
 using std::chrono::milliseconds;
 
-// The load after an outage on the users' platform: everybody who waited asks
-// at once, and new callers go on coming at 60% of what the upstream can do.
+// The load after an outage: all waiting callers ask at once, and new callers
+// keep arriving at 60% of the upstream's capacity.
 constexpr std::size_t waiting_callers = 90;
 constexpr duration run_time = milliseconds(35);
 constexpr duration caller_interval = milliseconds(15);
-constexpr duration played = std::chrono::seconds(6);
+constexpr duration simulated_time = std::chrono::seconds(6);
 constexpr std::uint32_t slots = 4;
 constexpr std::size_t upstream_queue = 16;
-// What callers do: copies of the opening packet, then a new try.
+// The times of a caller's copies of the opening packet; then it makes a new
+// attempt.
 constexpr duration copies[] = {milliseconds(0), milliseconds(200),
                                milliseconds(600)};
 constexpr duration retry_pause = milliseconds(100);
-constexpr int most_tries = 3;
-constexpr duration aim = milliseconds(150);
+constexpr int max_attempts = 3;
+constexpr duration target_time = milliseconds(150);
 constexpr duration deadline = milliseconds(2500);
 
 struct outcome
 {
     std::size_t callers = 0;
-    std::size_t in_aim = 0;
+    std::size_t in_time = 0;
     std::size_t late = 0;
-    // Tries that the upstream itself turned away.
+    // Attempts that the upstream itself rejected.
     std::size_t shed = 0;
 };
 
-// One upstream with slots and a bounded queue behind the real admission.
-class played_load
+// Simulates one upstream with slots and a bounded queue behind the real
+// admission.
+class simulated_load
 {
 public:
-    explicit played_load(std::uint32_t work_per_slot)
+    explicit simulated_load(std::uint32_t work_per_slot)
         : m_admission(std::chrono::seconds(2), m_start, work_per_slot, slots)
     {
         service declared;
@@ -50,13 +52,13 @@
         m_admission.declare(declared, 100);
     }
 
-    outcome play()
+    outcome simulate()
     {
         for (std::size_t i = 0; i < waiting_callers; ++i)
         {
             ask(m_start, m_start, 1, 0);
         }
-        for (time_point at = m_start; at < m_start + played;
+        for (time_point at = m_start; at < m_start + simulated_time;
              at += caller_interval)
         {
             ask(at, at, 1, 0);
@@ -74,9 +76,9 @@
     struct event
     {
         time_point at;
-        // When the caller asked first; of a run that ends, of its caller.
+        // The caller's first attempt; for the end of a run, that of its caller.
         time_point asked;
-        int tries = 0;
+        int attempts = 0;
         std::size_t copy = 0;
         bool ends = false;
 
@@ -86,9 +88,9 @@
         }
     };
 
-    void ask(time_point at, time_point asked, int tries, std::size_t copy)
+    void ask(time_point at, time_point asked, int attempts, std::size_t copy)
     {
-        m_events.push(event{at, asked, tries, copy, false});
+        m_events.push(event{at, asked, attempts, copy, false});
     }
 
     void take(const event& next)
@@ -98,17 +100,17 @@
             finish(next);
             return;
         }
-        m_outcome.callers += next.tries == 1 && next.copy == 0 ? 1 : 0;
+        m_outcome.callers += next.attempts == 1 && next.copy == 0 ? 1 : 0;
         if (m_admission.can_admit(next.at, 0))
         {
             reach(next);
             return;
         }
-        const bool comes_again = next.copy + 1 < std::size(copies);
-        if (comes_again)
+        const bool will_retransmit = next.copy + 1 < std::size(copies);
+        if (will_retransmit)
         {
             ask(next.at - copies[next.copy] + copies[next.copy + 1], next.asked,
-                next.tries, next.copy + 1);
+                next.attempts, next.copy + 1);
             return;
         }
         retry(next);
@@ -147,8 +149,8 @@
         --m_running;
         m_admission.ended(done.at, 1, true);
         const duration took = done.at - done.asked;
-        m_outcome.in_aim += took <= aim ? 1 : 0;
-        m_outcome.late += took > aim && took <= deadline ? 1 : 0;
+        m_outcome.in_time += took <= target_time ? 1 : 0;
+        m_outcome.late += took > target_time && took <= deadline ? 1 : 0;
         if (!m_queue.empty())
         {
             event next = m_queue.front();
@@ -162,9 +164,9 @@
     void retry(const event& next)
     {
         const time_point again = next.at + retry_pause;
-        if (next.tries < most_tries && again - next.asked < deadline)
+        if (next.attempts < max_attempts && again - next.asked < deadline)
         {
-            ask(again, next.asked, next.tries + 1, 0);
+            ask(again, next.asked, next.attempts + 1, 0);
         }
     }
 
@@ -176,31 +178,31 @@
     outcome m_outcome;
 };
 
-// Late answers count for a third of those on time.
-double worth(const outcome& got)
+// Late answers count for 0.3 of those in time.
+double score(const outcome& got)
 {
-    return (static_cast<double>(got.in_aim) +
+    return (static_cast<double>(got.in_time) +
             0.3 * static_cast<double>(got.late)) /
            static_cast<double>(got.callers);
 }
 
 } // namespace
 
-TEST(full_of_work, callers_get_more_than_without_a_bound)
+TEST(work_limit, serves_more_callers_in_time_than_without_a_limit)
 {
-    const outcome naive = played_load(0).play();
-    const outcome bounded = played_load(4).play();
+    const outcome naive = simulated_load(0).simulate();
+    const outcome bounded = simulated_load(4).simulate();
     EXPECT_EQ(naive.callers, bounded.callers);
     EXPECT_GT(naive.shed, 0U);
     EXPECT_EQ(bounded.shed, 0U);
-    EXPECT_GE(bounded.in_aim, naive.in_aim);
-    EXPECT_EQ(bounded.in_aim + bounded.late, bounded.callers);
-    EXPECT_GT(worth(bounded), worth(naive));
-    RecordProperty("naive", std::to_string(worth(naive)));
-    RecordProperty("bounded", std::to_string(worth(bounded)));
+    EXPECT_GE(bounded.in_time, naive.in_time);
+    EXPECT_EQ(bounded.in_time + bounded.late, bounded.callers);
+    EXPECT_GT(score(bounded), score(naive));
+    RecordProperty("naive", std::to_string(score(naive)));
+    RecordProperty("bounded", std::to_string(score(bounded)));
 }
 
-TEST(full_of_work, a_caller_that_comes_again_is_not_refused_yet)
+TEST(work_limit, defers_callers_that_will_retransmit)
 {
     agent_settings settings;
     settings.self = agent_fixture::member(0);
@@ -221,11 +223,11 @@
     opens.role = packet_role::opens;
     opens.current.push_back(agent_fixture::identity(0));
     packet_arrived copy{opens, {}, answer_need::required};
-    copy.comes_again = true;
+    copy.will_retransmit = true;
     core.handle(now, copy, effects);
     EXPECT_TRUE(effects.refusals.empty());
     EXPECT_TRUE(effects.delivered.empty());
-    copy.comes_again = false;
+    copy.will_retransmit = false;
     core.handle(now, copy, effects);
     ASSERT_EQ(effects.refusals.size(), 1U);
     EXPECT_EQ(effects.refusals[0].told.outcome, verdict::not_run);
--- a/packages/daemon/src/agent/agent_loop_upstream.cpp
+++ b/packages/daemon/src/agent/agent_loop_upstream.cpp
@@ -20,13 +20,14 @@
 // all lives have this one.
 constexpr std::uint64_t untold_start = 1;
 
-incarnation incarnation_of(const life_status& life)
+incarnation incarnation_of(const tracked_upstream& life)
 {
     return life.started.value_or(incarnation(untold_start));
 }
 
 // Whether the upstream beside this agent holds nothing of before.
-bool is_another_life(const life_status* before, const life_status& next)
+bool is_another_life(const tracked_upstream* before,
+                     const tracked_upstream& next)
 {
     if (before == nullptr || before->id != next.id ||
         before->returns != next.returns)
@@ -51,15 +52,15 @@
 }
 
 template <>
-void agent_loop<flow_delivery>::follow(const life_status& next)
+void agent_loop<flow_delivery>::follow(const tracked_upstream& next)
 {
     m_log.write(log_line(log_level::info, "upstream_announced")
                     .field("upstream", next.id.value())
                     .field("started", incarnation_of(next).value())
                     .field("returns", next.returns)
-                    .field("lived_on", next.lived_on)
+                    .field("lived_on", next.was_running)
                     .field("first_heard", next.first_heard)
-                    .field("young", next.is_young())
+                    .field("young", next.has_just_started())
                     .field("leaves", next.leaves)
                     .field("gone", next.is_gone)
                     .field("cold", next.cold_until > m_now));
@@ -75,15 +76,15 @@
         // upstream's word gives the name that peers know it by.
         start_core(next);
     }
-    else if (m_upstream->is_young() != next.is_young())
+    else if (m_upstream->has_just_started() != next.has_just_started())
     {
-        handle(upstream_lived_on{next.is_young()});
+        handle(upstream_survived{next.has_just_started()});
     }
     const bool is_first = m_upstream == nullptr;
     const bool is_silent_yet =
         !next.started && next.first_heard == 0 && next.returns == 0;
-    handle(upstream_told{next.cold_until, is_first && next.lived_on,
-                         is_silent_yet});
+    handle(upstream_start_reported{
+        next.cold_until, is_first && next.was_running, is_silent_yet});
     if (next.leaves)
     {
         handle(leave_requested{});
@@ -95,7 +96,7 @@
 }
 
 template <>
-void agent_loop<flow_delivery>::start_core(const life_status& next)
+void agent_loop<flow_delivery>::start_core(const tracked_upstream& next)
 {
     const auto known = m_wanted.find(next.id);
     const std::uint64_t before =
@@ -111,9 +112,9 @@
     m_settings.self = m_self;
     m_settings.slots = next.slots;
     m_core.emplace(m_settings, m_now);
-    if (next.lived_on)
+    if (next.was_running)
     {
-        handle(upstream_lived_on{next.is_young()});
+        handle(upstream_survived{next.has_just_started()});
     }
     if (m_view != nullptr)
     {
