--- a/packages/replication/src/replicated_document.cpp
+++ b/packages/replication/src/replicated_document.cpp
@@ -88,8 +88,9 @@
     m_pending.emplace(proposal, std::move(pending));
     if (full || !can_read(m_now))
     {
-        complete(proposal, unavailable(full ? "too many pending changes"
-                                            : "this host is not the leader"));
+        complete(proposal,
+                 unavailable(full ? "too many changes wait for an answer"
+                                  : "this host is not the leader"));
         return;
     }
     run_replica(propose{proposal, internal::encode_evacuation(event.change)});
--- a/packages/replication/src/voter_policy.cpp
+++ b/packages/replication/src/voter_policy.cpp
@@ -65,7 +65,8 @@
     return std::min(max_voters, 2 * m_settings.tolerated_failures + 1);
 }
 
-// A new leader has had no answers yet, so that its time in office counts.
+// For a member that has not answered a new leader yet, the time since the
+// election counts instead.
 bool voter_policy::is_lost(const replica_status& status,
                            const member_status& member) const
 {
