--- a/packages/agent/include/crowlink/agent/admission.hpp
+++ b/packages/agent/include/crowlink/agent/admission.hpp
@@ -45,8 +45,9 @@
 
     void assess(time_point now);
 
-    // In millionths of the upstream's capacity: the larger of the use of flows,
-    // of work and of the cold-start limit, relative to the upstream's share.
+    // In millionths of the upstream's capacity: the largest of the uses of
+    // flows, of work and of the cold-start limit, relative to the upstream's
+    // weight and share.
     std::uint32_t load(std::size_t flows) const;
 
     // Whether the work that runs and waits would delay one more request too
--- a/packages/agent/include/crowlink/agent/agent.hpp
+++ b/packages/agent/include/crowlink/agent/agent.hpp
@@ -306,9 +306,9 @@
     bool m_announced = false;
     bool m_leaving = false;
     bool m_is_incarnation_uncertain = false;
-    // Flows that may be old are adopted until the first time, flows that are
-    // certainly old until the second, after a restart beside a running
-    // upstream.
+    // After a restart beside a running upstream, flows that may be old are
+    // adopted until m_adopt_until, and flows that are certainly old until
+    // m_adopt_old_until.
     time_point m_adopt_until{};
     time_point m_adopt_old_until{};
     // Until then the upstream may hold a flow whose chain in the recent tables
--- a/packages/agent/include/crowlink/agent/agent_counts.hpp
+++ b/packages/agent/include/crowlink/agent/agent_counts.hpp
@@ -12,7 +12,8 @@
     // Packets of known flows, and answers.
     std::uint64_t delivered = 0;
     std::uint64_t answered = 0;
-    // Flows that were admitted, adopted, closed, or forwarded during placement.
+    // Flows that were admitted, adopted or closed, forwarded during placement,
+    // refused, or left to the caller's retransmission.
     std::uint64_t admitted = 0;
     std::uint64_t adopted = 0;
     std::uint64_t closed = 0;
--- a/packages/agent/include/crowlink/agent/agent_effects.hpp
+++ b/packages/agent/include/crowlink/agent/agent_effects.hpp
@@ -12,8 +12,8 @@
 namespace crowlink
 {
 
-// The outputs of an agent. The caller carries each out at once and without
-// blocking; none of them calls back into the agent.
+// The outputs of an agent. The I/O layer carries out each of them immediately
+// and without blocking; none of them calls back into the agent.
 //
 //   deliver         a caller's packet to the upstream; opens what it needs
 //   forward         a caller's packet to another agent
--- a/packages/agent/include/crowlink/agent/agent_settings.hpp
+++ b/packages/agent/include/crowlink/agent/agent_settings.hpp
@@ -32,8 +32,8 @@
     // than a third of the settling time, when a redirect is repeated in case it
     // was lost.
     duration placing_lifetime = std::chrono::seconds(5);
-    // The number of a flow's first candidates, 1 to 4, that its owner sends a
-    // redirect. With two, the next candidate knows the flow when the first one
+    // The number of a flow's first candidates, 1 to 4, to which its owner sends
+    // redirects. With two, the next candidate knows the flow when the first one
     // fails.
     std::uint32_t redirect_copies = 2;
     // Bounds the redirects that are published at one tick, and the flows that
@@ -51,15 +51,15 @@
     // renews it.
     duration members_known_after = std::chrono::seconds(2);
     // Bounds the owner questions at one tick, and the packets that are sent to
-    // possible owners. At 50 ms a tick these are 1,280 a second, and as many
-    // answers: a fifth of a tenth of a core.
+    // possible owners. At 50 ms a tick these are 1,280 questions a second and
+    // as many answers, which take 2% of a core.
     std::uint32_t questions_per_tick = 64;
     // How long a flow is kept after both ends have finished it.
     duration linger = std::chrono::seconds(10);
-    // When a refused caller may retry.
+    // The delay after which a refused caller may retry.
     duration retry_after = std::chrono::seconds(1);
-    // The work for each slot, including what runs, from which new flows are
-    // rejected; 0 sets no bound. For upstreams whose own queue would delay or
+    // The work for each slot, running work included, at which new flows are
+    // rejected; 0 sets no limit. For upstreams whose own queue would delay or
     // refuse requests.
     std::uint32_t work_per_slot = 0;
     // The slots that the upstream announced; 0 when the document declares them.
--- a/packages/agent/include/crowlink/agent/member_tables.hpp
+++ b/packages/agent/include/crowlink/agent/member_tables.hpp
@@ -42,7 +42,7 @@
     candidate_chain chain(const flow_key& flow) const;
 
     // Whether a packet with this table's digest may belong to a flow whose
-    // owner this agent hasn't been told.
+    // owner has not notified this agent yet.
     bool may_be_owned_elsewhere(time_point now, std::uint64_t table) const;
 
     // Adds to the header's previous chain the candidates of this agent's
--- a/packages/agent/include/crowlink/agent/owner_search.hpp
+++ b/packages/agent/include/crowlink/agent/owner_search.hpp
@@ -21,7 +21,8 @@
     // The caller's latest packet.
     packet_header header;
     std::vector<std::uint8_t> payload;
-    // The caller has retransmitted, so that nobody serves the flow.
+    // No silent member serves the flow: the caller has retransmitted, or all
+    // silent members are given up.
     bool is_unserved = false;
     // When the caller has given up, unless it retransmits again.
     time_point until{};
@@ -55,9 +56,9 @@
     friend auto operator<=>(const search_times&, const search_times&) = default;
 };
 
-// Searches for the owners of flows by asking all members of the service, about
-// all flows at once and in rounds. A flow that every member has denied has no
-// owner.
+// Searches for the owners of flows by asking all members of the service in
+// rounds, each of which covers all flows. A flow that every member has denied
+// has no owner.
 //
 // It asks in rounds instead of forwarding a packet from member to member: with
 // 163 members that took 163 hops of a whole packet for each retransmission of a
--- a/packages/agent/include/crowlink/agent/redirect_batch.hpp
+++ b/packages/agent/include/crowlink/agent/redirect_batch.hpp
@@ -23,7 +23,8 @@
     void add(const redirect_notice& empty, const endpoint& to,
              const owned_flow& flow);
 
-    // The collected notices. The caller removes those that it sends.
+    // The collected notices. The user of the batch removes the notices that it
+    // sends.
     std::vector<open_notice>& notices() { return m_notices; }
 
 private:
--- a/packages/agent/include/crowlink/agent/upstream_announcement.hpp
+++ b/packages/agent/include/crowlink/agent/upstream_announcement.hpp
@@ -23,7 +23,7 @@
     // The service's name.
     std::string service;
     // Increases with each announcement of one incarnation, so that late ones
-    // are recognized.
+    // are recognised.
     std::uint64_t sequence = 0;
     // The upstream keeps its flows and wants no new ones.
     bool leaves = false;
--- a/packages/agent/src/admission.cpp
+++ b/packages/agent/src/admission.cpp
@@ -12,7 +12,8 @@
 {
 
 constexpr std::uint32_t default_weight = 100;
-// Without permission to shed, the share is reduced to no less than a half.
+// The least share of an upstream that is judged stalled and has no permission
+// to shed.
 constexpr std::uint32_t least_share_without_grant = full_share / 2;
 constexpr duration trial_interval = std::chrono::seconds(1);
 // When the goal is continuity, a head whose load exceeds the mean by up to this
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -72,9 +72,9 @@
     send_batch();
 }
 
-// A packet on a walk was already forwarded past the other agents before the
-// flow was adopted here. Starting a walk from each agent that may have the flow
-// would take packets of lost flows beyond the hop limit.
+// A packet that a walk has placed here visited the other agents on that walk,
+// so that it starts a search and not another walk: a walk from each agent that
+// may have the flow would take packets of lost flows beyond the hop limit.
 void agent::search_elsewhere(time_point now, const packet_header& header,
                              const packet_arrived& event)
 {
--- a/packages/agent/src/agent_redirects.cpp
+++ b/packages/agent/src/agent_redirects.cpp
@@ -11,8 +11,8 @@
 
 // The number of renewals within a redirect's lifetime.
 constexpr int renewals_in_lifetime = 3;
-// A new redirect is sent a second time after this fraction of the settling
-// time, since a notice may be lost.
+// A new redirect is sent a second time when the settling time divided by this
+// number has passed, since a notice may be lost.
 constexpr int repeat_in_settling = 3;
 // The minimum interval between notices to a head whose packets were looked up.
 constexpr duration head_notify_interval = std::chrono::milliseconds(100);
--- a/packages/agent/src/agent_search.cpp
+++ b/packages/agent/src/agent_search.cpp
@@ -256,7 +256,7 @@
 }
 
 // Whether a caller retransmits on a flow whose packets were sent to silent
-// upstreams.
+// upstreams, which shows that none of them serves the flow.
 bool agent::caller_retransmits(time_point now, const packet_arrived& event)
 {
     const flow_key& flow = event.header.flow;
--- a/packages/agent/src/agent_walk.cpp
+++ b/packages/agent/src/agent_walk.cpp
@@ -31,9 +31,9 @@
     forward(header, event, flow_action::looked_up, "owner_unknown");
 }
 
-// Walks visit agents in one fixed order, and each packet follows the path of
-// the one before it as well as its own chains. Two packets whose chains share
-// an agent therefore end at the same last agent, and that one decides.
+// All walks for a flow visit agents in one order, and each packet follows the
+// path of the packet before it as well as its own chains. Two packets whose
+// chains share an agent therefore end at the same last agent, which decides.
 // Candidates that an agent on the path knows beyond the packet's chains are
 // added to them. An earlier incarnation of the upstream keeps its own position
 // in the order, so that none is visited twice.
--- a/packages/agent/src/upstream_tracker.cpp
+++ b/packages/agent/src/upstream_tracker.cpp
@@ -53,8 +53,8 @@
     return {};
 }
 
-// A fixed value when it is warm, so that its announcements do not differ from
-// each other.
+// A fixed value when the upstream is warm, so that its status does not change
+// with each announcement.
 time_point upstream_tracker::cold_until(time_point now,
                                         const upstream_announcement& announced)
 {
@@ -154,8 +154,8 @@
     }
 }
 
-// An ended incarnation with a known start allows later ones of its name; one
-// without ended the name.
+// After an incarnation with a known start has ended, later incarnations of its
+// name are allowed; after one without a known start, none of that name is.
 bool upstream_tracker::has_ended(const upstream_announcement& announced) const
 {
     return std::any_of(m_ended.begin(), m_ended.end(),
--- a/packages/agent/test/cold_start_limiter_test.cpp
+++ b/packages/agent/test/cold_start_limiter_test.cpp
@@ -41,7 +41,8 @@
     return most;
 }
 
-// At ten times the limit no span of a second exceeds it, and the limit is used.
+// After an outage all upstreams return cold and get ten times the limit: no
+// span of a second exceeds the limit, and the limit is used.
 TEST(cold_start_limiter, limits_every_one_second_span_under_overload)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed)
@@ -146,8 +147,9 @@
     }
     advance(900ms);
     open(limit, true);
-    // The caller retransmits when there is room again.
+    // The packet is neither refused nor admitted beyond the limit.
     EXPECT_TRUE(effects.refusals.empty());
+    // The caller retransmits when there is room again.
     advance(200ms);
     open(limit, true);
     EXPECT_EQ(effects.delivered.size(), limit + 1U);
--- a/packages/agent/test/mesh.hpp
+++ b/packages/agent/test/mesh.hpp
@@ -25,7 +25,7 @@
     // overtake each other.
     duration min_delay = std::chrono::microseconds(300);
     duration max_delay = std::chrono::milliseconds(3);
-    // The maximum delay after which a node knows a view.
+    // The maximum time by which a node gets a view later than control.
     duration max_lag = std::chrono::seconds(2);
     service declared;
     agent_settings agents;
--- a/packages/agent/test/search_test.cpp
+++ b/packages/agent/test/search_test.cpp
@@ -169,8 +169,8 @@
 }
 
 // One packet of each flow, as after a power failure. Forwarding a packet to
-// each member in turn took as many whole packets for each flow: 32,600 with 163
-// members.
+// each member in turn took one whole packet for each member and flow: 32,600
+// with 163 members.
 TEST_P(search_at_size, lost_flows_share_questions)
 {
     searched_service service(long_ago, GetParam());
@@ -202,8 +202,9 @@
     EXPECT_FALSE(service.delivered.empty());
 }
 
-// The agents restarted together with their upstreams and took them for running
-// ones: each flow was tried at each of them.
+// Agents that restart together with their upstreams find them running. Without
+// the upstreams' report that they have just started, each flow was tried at all
+// of them.
 TEST_P(search_at_size, just_started_upstreams_are_tried_only_as_candidates)
 {
     searched_service service(long_ago, GetParam());
--- a/packages/agent/test/silence_test.cpp
+++ b/packages/agent/test/silence_test.cpp
@@ -52,7 +52,7 @@
 }
 
 // A quiet stream: the caller has acknowledged a few items and waits, as the
-// upstream has nothing to send for an hour.
+// upstream has nothing to send for twenty minutes.
 TEST(silence, keeps_a_quiet_stream)
 {
     agent_fixture fixture(3);
--- a/packages/forwarding/include/crowlink/forwarding/candidate.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/candidate.hpp
@@ -11,7 +11,9 @@
 {
 
 // Identifies an upstream in packets: 32 bits of the hash of its id and
-// incarnation. An agent drops packets that do not carry its own tag.
+// incarnation. An agent does not accept packets for another tag: it
+// re-addresses TCP packets for an earlier incarnation of its upstream, forwards
+// other opening packets to the next candidate, and drops the rest.
 using upstream_tag = std::uint32_t;
 
 inline upstream_tag tag_of(const upstream_id& id, incarnation started)
--- a/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/forwarding_set.hpp
@@ -63,7 +63,7 @@
 
     forwarding_set();
 
-    // Apply one change; return whether it has an effect.
+    // Applies one change; returns whether it has an effect.
     bool apply(const service_view& view);
     bool apply(const removed_service& removed);
     bool was_removed_since(const service_view& view) const;
--- a/packages/forwarding/include/crowlink/forwarding/packet_header.hpp
+++ b/packages/forwarding/include/crowlink/forwarding/packet_header.hpp
@@ -64,9 +64,10 @@
     std::uint8_t position = 0;
     // The number of agents that have forwarded the packet, to bound loops.
     std::uint8_t hops = 0;
-    // The position of the best agent among those asked so far: on the lookup
-    // pass one that may resume the flow after its own restart, on the admit
-    // pass the least loaded one.
+    // The position of the best agent among those asked so far: on a walk one
+    // that may adopt the flow after its own restart, on the admit pass the
+    // least loaded one. On the place pass, that of the first agent that was to
+    // own the flow.
     std::uint8_t best = no_position;
     // On the admit pass, the load that this agent reported, in millionths of
     // its capacity.
