--- a/packages/document/include/crowlink/document/document_change.hpp
+++ b/packages/document/include/crowlink/document/document_change.hpp
@@ -10,8 +10,9 @@
 struct document_change
 {
     // A JSON pointer in which a list element is identified by its key instead
-    // of its index: a service by its id; a region, data centre, kind, address
-    // or drain by its string. Example: "/services/1/limits".
+    // of its index: a service by its id, a route by its address, a share of a
+    // route by its service; a region, data centre, kind, address or drain by
+    // its string. Example: "/services/1/limits".
     std::string path;
     // Compact JSON; empty if the value is added.
     std::string before;
--- a/packages/document/src/document_json.hpp
+++ b/packages/document/src/document_json.hpp
@@ -7,7 +7,7 @@
 namespace crowlink::internal
 {
 
-// Keeps the order in which fields are added.
+// Keeps the order in which fields are added, which suits human readers.
 using ordered_json = nlohmann::ordered_json;
 
 // Returns the document with its lists in canonical order; see read_document.
--- a/packages/document/src/strict_json.cpp
+++ b/packages/document/src/strict_json.cpp
@@ -42,7 +42,7 @@
 }
 
 // Checks a text without building its value, and stops at the first error. The
-// public functions implement nlohmann's SAX interface.
+// other public functions implement nlohmann's SAX interface.
 class json_inspector
 {
 public:
--- a/packages/document/test/reader_test.cpp
+++ b/packages/document/test/reader_test.cpp
@@ -308,8 +308,8 @@
     EXPECT_NE(read.error().to_text().find("/services/1/id"), std::string::npos);
 }
 
-// A value that only the schema rejects is an error if it cannot be read, and is
-// accepted otherwise.
+// A value that only the schema rejects must yield an error and no exception if
+// it cannot be read. It is accepted otherwise.
 TEST(read_committed_document, rejects_documents_that_only_another_schema_allows)
 {
     auto value = json::parse(full_document, nullptr, true, true);
--- a/packages/document/test/sample_documents.hpp
+++ b/packages/document/test/sample_documents.hpp
@@ -27,7 +27,7 @@
   "drains": ["u1"]
 })";
 
-// A random valid document in canonical order.
+// A valid document in canonical order, drawn from a seeded generator.
 inline system_document random_document(seeded_random& random)
 {
     const auto draw = [&random](std::uint64_t below)
--- a/packages/membership/include/crowlink/membership/announcer.hpp
+++ b/packages/membership/include/crowlink/membership/announcer.hpp
@@ -14,8 +14,8 @@
 
 // The incarnation of a process that starts now: milliseconds of the wall clock
 // in the upper 48 bits and random bits below. It increases over restarts
-// without persistent storage. If the wall clock was set back, the observer's
-// answer corrects it.
+// without persistent storage. If the wall clock was set back, the announcer
+// raises the incarnation above the newest one that the observer's answer names.
 incarnation first_incarnation(std::uint64_t wall_clock_ms,
                               std::uint64_t random_bits);
 
@@ -83,7 +83,8 @@
     bool m_superseded = false;
     bool m_forbidden = false;
     bool m_waiting_answer = false;
-    // The home holds the lease, but the other observers do not hear the home.
+    // The home holds the lease, but fewer than half of its region's observers
+    // hear it.
     bool m_is_home_isolated = false;
     int m_attempts = 0;
     std::size_t m_failed_observers = 0;
--- a/packages/membership/include/crowlink/membership/lost_member.hpp
+++ b/packages/membership/include/crowlink/membership/lost_member.hpp
@@ -11,7 +11,7 @@
 // Why a node considers a member lost.
 enum class loss_reason : std::uint8_t
 {
-    // Its end was announced.
+    // Its end was announced, or its agent has a new upstream.
     ended,
     // Its lease expired; the member may still be alive.
     lease_expired,
--- a/packages/membership/include/crowlink/membership/observer.hpp
+++ b/packages/membership/include/crowlink/membership/observer.hpp
@@ -158,7 +158,7 @@
     internal::peer_liveness m_peers;
     table m_records;
     // For each agent the living record that was stored last, or one whose lease
-    // expired. Other records of the agent belong to former upstreams.
+    // expired. There may be other records of the agent, of former upstreams.
     std::map<endpoint, internal::record_key> m_by_agent;
     internal::digest_table m_digests;
     // The sum of hashes of the records whose lease expired, which the digests
--- a/packages/membership/include/crowlink/membership/observer_settings.hpp
+++ b/packages/membership/include/crowlink/membership/observer_settings.hpp
@@ -16,8 +16,8 @@
     // The other observers.
     std::vector<observer_info> peers;
     duration lease = std::chrono::seconds(6);
-    // The delay between the end of a lease and its expiry, so that failures
-    // that happen together are evaluated together. It must exceed the
+    // The delay after a lease has run out before its record expires, so that
+    // failures that happen together are evaluated together. It must exceed the
     // announcers' renewal interval.
     duration expiry_delay = std::chrono::milliseconds(2500);
     duration heartbeat_interval = std::chrono::seconds(1);
@@ -49,16 +49,18 @@
     std::size_t expiry_minimum = 2;
     duration expiry_window = std::chrono::seconds(10);
     // Records beyond that limit expire once they have stayed silent for this
-    // long while at least half of the own region's observers are heard.
+    // long after expiry_delay, if at least half of the own region's observers
+    // are heard.
     duration confirm_after = std::chrono::seconds(10);
     // When a home reports a data centre as lost, the other homes have this long
-    // to report it as well.
+    // to report it as well, and twice as long if half of the data centre's
+    // members are silent.
     duration report_wait = std::chrono::seconds(4);
     duration detection_interval = std::chrono::milliseconds(500);
     // A started observer may publish once its digest equals that of a peer that
-    // may publish, or those of a majority together with peers that have also
-    // just started. It may also publish after this time if it heard no peer at
-    // all.
+    // may publish, or once it and the peers with the same digest, which may
+    // have just started as well, are a majority of all observers. If it has
+    // heard no peer at all, it may publish after this time.
     duration start_grace = std::chrono::seconds(10);
     // The most records in one message to a peer, and the most messages in the
     // reply to one digest.
--- a/packages/membership/include/crowlink/membership/peer_liveness.hpp
+++ b/packages/membership/include/crowlink/membership/peer_liveness.hpp
@@ -66,8 +66,9 @@
 
     std::vector<region_age> cut_regions(time_point now) const;
 
-    // Restarts the indirect timeouts. After a pause of the own process the
-    // silence of others shows nothing.
+    // Counts every peer as just heard indirectly, and this observer as just
+    // heard by every peer. After a pause of the own process the silence of
+    // others shows nothing.
     void restart_timeouts(time_point now);
 
 private:
--- a/packages/membership/include/crowlink/membership/region_age.hpp
+++ b/packages/membership/include/crowlink/membership/region_age.hpp
@@ -8,7 +8,7 @@
 namespace crowlink
 {
 
-// A region that is cut off. Its records are as old as this age.
+// A region that is cut off. Its records are as last known, this long ago.
 struct region_age
 {
     region_id region;
--- a/packages/membership/include/crowlink/membership/subscribed_state.hpp
+++ b/packages/membership/include/crowlink/membership/subscribed_state.hpp
@@ -27,7 +27,8 @@
     std::uint64_t hash = 0;
     // The stream that contained it last.
     std::uint32_t generation = 0;
-    // The record before its lease expired. Not set if its end was announced.
+    // The record before its lease expired or it was removed as absent. Not set
+    // if its end was announced.
     std::optional<upstream_record> before_expiry;
     // When a publisher's snapshot first lacked it.
     std::optional<time_point> absent_since;
--- a/packages/membership/include/crowlink/membership/subscriber.hpp
+++ b/packages/membership/include/crowlink/membership/subscriber.hpp
@@ -61,7 +61,7 @@
 
     staleness age(time_point now) const;
 
-    // The publisher that is attached to or asked at present.
+    // The publisher that the node is attached to, or asks at present.
     const host_id& source() const;
     bool attached() const { return m_phase == phase::attached; }
 
--- a/packages/membership/src/observer.cpp
+++ b/packages/membership/src/observer.cpp
@@ -225,8 +225,8 @@
     return out;
 }
 
-// Leases that expired during a pause of this process are extended, since the
-// renewals may have been lost.
+// After a pause of this process all leases are extended: that some ran out
+// during the pause shows nothing, since the renewals may have been lost.
 void observer::extend_leases_after_pause(time_point now)
 {
     if (now - m_last_tick <= m_settings.lease / 2)
--- a/packages/membership/src/observer_failure_detection.cpp
+++ b/packages/membership/src/observer_failure_detection.cpp
@@ -287,7 +287,7 @@
 
 // Whether a data centre that this home reports may still turn out to be lost.
 // The other homes have some time to report it, too, and twice as long if half
-// of its members are silent.
+// of the data centre's members are silent.
 bool observer::may_be_whole_place(time_point now, const place_id& where) const
 {
     const auto report = m_own_reports.find(where);
--- a/packages/membership/src/observer_peers.cpp
+++ b/packages/membership/src/observer_peers.cpp
@@ -195,8 +195,8 @@
     send_batch(batch, to, out);
 }
 
-// Sends the records whose end was announced as well, since the peer may hold
-// one of them as expired.
+// Sends the gone records, up to the limit of one reply. Those whose end was
+// announced are included, since the peer may hold one of them as expired.
 void observer::send_gone(time_point now, const host_id& to,
                          observer_output& out) const
 {
--- a/packages/membership/src/observer_records.cpp
+++ b/packages/membership/src/observer_records.cpp
@@ -160,8 +160,8 @@
     }
 }
 
-// The agent of an expired record is kept, so that the upstream's successor ends
-// it.
+// The entry of an expired record is kept, so that the next upstream of the same
+// agent ends the record.
 void observer::note_agent(const upstream_record& before,
                           const upstream_record& after)
 {
--- a/packages/membership/src/publisher.cpp
+++ b/packages/membership/src/publisher.cpp
@@ -198,9 +198,9 @@
     out.push_back(membership_send{from, std::move(refused)});
 }
 
-// Whether this host will be able to serve within the time that nodes wait. A
-// host whose disk was lost gets the document from another one, which may serve
-// long before it, so nodes need not wait for this host.
+// Whether it makes sense for a node to wait for this host: it may serve already
+// or has a document. A host whose disk was lost gets the document from another
+// one, which may serve long before it.
 bool publisher::will_serve() const
 {
     return may_serve_new_nodes() || m_state.version() > config_version();
--- a/packages/membership/src/publisher_stream.cpp
+++ b/packages/membership/src/publisher_stream.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-// No part is begun for less than this, which keeps the share of the framing
-// low.
+// No part is begun while fewer bytes than this may be sent, which keeps the
+// share of the framing low.
 constexpr double min_part_bytes = 768;
 
 std::uint32_t whole_seconds(duration time)
--- a/packages/membership/test/distribution_test.cpp
+++ b/packages/membership/test/distribution_test.cpp
@@ -134,6 +134,9 @@
     EXPECT_LT(cluster.longest_message, 40000U);
 }
 
+// A node keeps its newer document when control hosts that restarted serve an
+// older one. A node that restarts has none and takes the older one, until a
+// control host has the newest.
 TEST(distribution,
      keeps_newer_versions_across_restarts_of_control_hosts_and_nodes)
 {
--- a/packages/membership/test/merge_test.cpp
+++ b/packages/membership/test/merge_test.cpp
@@ -59,7 +59,7 @@
 namespace
 {
 
-// The announcement of an upstream by an agent; all use one agent address.
+// The announcement of an upstream; all come from the same agent address.
 wire::membership_message announced(const char* id, std::uint64_t started,
                                    std::uint64_t sequence)
 {
--- a/packages/membership/test/node_invariants.hpp
+++ b/packages/membership/test/node_invariants.hpp
@@ -15,8 +15,8 @@
 {
 public:
     // Versions of records, declarations and the document never decrease, a gone
-    // record does not return, and no upstream counts as ended unless its end
-    // was announced.
+    // record does not return, and no upstream counts as ended unless it
+    // announced its end or its agent has another upstream.
     void check(const host_id& name, const subscriber& node,
                const std::set<upstream_id>& ended)
     {
--- a/packages/membership/test/subscriber_test.cpp
+++ b/packages/membership/test/subscriber_test.cpp
@@ -101,8 +101,8 @@
     subscriber m_core;
 };
 
-// Members of an evacuated data centre get no new flows, and an order of an
-// older revision does not change that.
+// Members of an evacuated data centre get no new flows. An order of an older
+// revision does not change that; one of a newer revision does.
 TEST_F(subscriber_stream, ignores_evacuations_of_an_older_revision)
 {
     const auto order = [this](std::uint64_t revision, bool evacuates)
--- a/packages/plan/include/crowlink/plan/measured_costs.hpp
+++ b/packages/plan/include/crowlink/plan/measured_costs.hpp
@@ -36,7 +36,8 @@
 // ignored.
 result<measured_costs> read_costs(std::string_view text);
 
-// The output of the capacity bench that is embedded in this release.
+// The costs measured for this release: the embedded output of the capacity
+// bench.
 std::string_view shipped_costs_text();
 
 } // namespace crowlink
