--- a/packages/replication/include/crowlink/replication.hpp
+++ b/packages/replication/include/crowlink/replication.hpp
@@ -17,7 +17,7 @@
 //   message_codec.hpp        their encoding
 //   document_store.hpp       versions of the document, conflicts, retries
 //   evacuations.hpp          data centres whose upstreams get no new flows
-//   evacuation_change.hpp    an order to evacuate one, or to end it
+//   evacuation_change.hpp    an order that starts or ends an evacuation
 //   log_storage.hpp          the data folder of a replica
 //   file_system.hpp          the file operations that storage needs
 //   posix_file_system.hpp    a folder of the operating system
--- a/packages/replication/include/crowlink/replication/message.hpp
+++ b/packages/replication/include/crowlink/replication/message.hpp
@@ -125,7 +125,8 @@
 
 struct disk_answer
 {
-    // Copied from the question, so that the answer is known to be newer.
+    // Copied from the question, which proves that the answer was given after
+    // it.
     std::uint64_t number = 0;
     // True if this process has no state, and therefore has led no term.
     bool blank = false;
--- a/packages/replication/include/crowlink/replication/replica.hpp
+++ b/packages/replication/include/crowlink/replication/replica.hpp
@@ -43,7 +43,8 @@
     std::vector<replica_effect> handle(time_point now,
                                        const replica_event& event);
 
-    // Replaces the hosts to which hello is sent.
+    // Replaces the other control hosts, which get hello and which the leader
+    // may admit.
     void set_peers(std::vector<host_id> peers);
 
     // Whether this replica is the leader, holds its lease and has applied all
--- a/packages/replication/include/crowlink/replication/replicated_document.hpp
+++ b/packages/replication/include/crowlink/replication/replicated_document.hpp
@@ -44,7 +44,8 @@
     std::vector<document_effect> handle(time_point now,
                                         const document_event& event);
 
-    // Replaces the hosts to which hello is sent.
+    // Replaces the other control hosts, which get hello and which the leader
+    // may admit.
     void set_peers(std::vector<host_id> peers)
     {
         m_replica.set_peers(std::move(peers));
--- a/packages/replication/include/crowlink/replication/store_limits.hpp
+++ b/packages/replication/include/crowlink/replication/store_limits.hpp
@@ -12,7 +12,7 @@
     // Versions whose operation and operator name are kept.
     std::size_t history_versions = 32;
     // Beyond this the oldest documents are dropped; the current one is always
-    // kept. A snapshot holds another copy, and several while it is taken.
+    // kept. A snapshot holds another copy; taking it needs several for a time.
     std::size_t history_bytes = 2 * 1024 * 1024;
     // Operations whose first answer is kept. A retry after that many later
     // operations gets a conflict; it can never take effect twice, because
--- a/packages/replication/include/crowlink/replication/voter_policy.hpp
+++ b/packages/replication/include/crowlink/replication/voter_policy.hpp
@@ -23,9 +23,9 @@
     // A host that is not a member counts as reachable if its last hello is not
     // older; such hosts send hello once a second.
     duration hello_timeout = std::chrono::milliseconds(1500);
-    // An observer that has not answered for this long is removed; it is
-    // admitted again when it returns. Much longer than a restart, since nothing
-    // depends on an observer.
+    // An observer is removed if its last answer to this leader is older; it is
+    // admitted again when it returns. One that has never answered this leader
+    // is kept. Much longer than a restart, since nothing waits for an observer.
     duration observer_timeout = std::chrono::seconds(30);
 
     friend auto operator<=>(const voter_policy_settings&,
@@ -43,7 +43,7 @@
 // 3. a lost voter in excess of the required number is removed;
 // 4. every other reachable host becomes an observer, so that it holds the
 //    document, answers operators and serves nodes;
-// 5. an observer that has been silent for long is removed.
+// 5. an observer whose last answer to the leader is too old is removed.
 //
 // The last voter is never removed, and a lost voter only after another host has
 // replaced it: a host that returns soon keeps its vote.
--- a/packages/replication/src/replica_follow.cpp
+++ b/packages/replication/src/replica_follow.cpp
@@ -152,7 +152,7 @@
 
 // The commit index of a new leader lags behind that of its predecessors until
 // an entry of its own term is committed; only then are all earlier committed
-// entries known to be covered. A snapshot does not tell which entries follow
+// entries known to be covered. A snapshot does not show which entries follow
 // it.
 bool replica_core::holds_all_committed() const
 {
--- a/packages/replication/src/replica_members.cpp
+++ b/packages/replication/src/replica_members.cpp
@@ -61,7 +61,7 @@
 }
 
 // Sends hello to the hosts that the settings name but that are not members:
-// hosts without a disk, which tell others the addresses of control.
+// hosts without a disk, which pass on the addresses of the control hosts.
 void replica_core::send_hello_to_non_members()
 {
     if (m_hello_sent && m_now - *m_hello_sent < hello_interval)
--- a/packages/replication/test/automatic_voters_test.cpp
+++ b/packages/replication/test/automatic_voters_test.cpp
@@ -178,8 +178,8 @@
     }
 }
 
-// Hosts that the settings name but that are not members tell others the
-// addresses of control, so the leader must make itself known to them.
+// Hosts that the settings name but that are not members pass on the addresses
+// of the control hosts, so that the leader must send them hello.
 TEST(automatic_voters, a_leader_sends_hello_to_hosts_that_are_not_members)
 {
     fake_cluster cluster(3, 1, 3);
--- a/packages/replication/test/disabled_rule_test.cpp
+++ b/packages/replication/test/disabled_rule_test.cpp
@@ -3,8 +3,9 @@
 #include <functional>
 #include <gtest/gtest.h>
 
-// Disables each rule of the log in turn. The scenario that depends on the rule
-// must then end in a violation, and in none with the rule enabled.
+// Disables one rule of the log at a time. The scenario that depends on the rule
+// must then end in a violation, and in none with the rule enabled. The rules on
+// the end of a lease are covered by leader_lease_test.cpp.
 namespace crowlink::replication
 {
 
--- a/packages/replication/test/history_checker.hpp
+++ b/packages/replication/test/history_checker.hpp
@@ -15,7 +15,7 @@
 {
 
 // Compares the states of the hosts with a reference model: a map from version
-// to change, in which the first host that shows a version records it. Keeps the
+// to change, which holds each version as it was first seen on a host. Keeps the
 // first violation.
 class history_checker
 {
--- a/packages/replication/test/leader_lease_test.cpp
+++ b/packages/replication/test/leader_lease_test.cpp
@@ -276,8 +276,8 @@
 // A former leader that lost its disk cannot campaign, but reports the loss.
 // Without its answer no host votes within the election timeout of 100 steps.
 // With it 45 of the 50 seeds have a leader sooner, half of them within 65
-// steps; in the others two hosts campaign at once and have to repeat the
-// election.
+// steps; in the others two hosts campaign at the same time and have to repeat
+// the election.
 TEST(leader_restart, the_lease_of_a_leader_that_lost_its_disk_is_not_waited_out)
 {
     constexpr std::size_t timeout_steps = 100;
--- a/packages/replication/test/voter_policy_test.cpp
+++ b/packages/replication/test/voter_policy_test.cpp
@@ -142,8 +142,8 @@
     EXPECT_EQ(decide(never), change(member_change_kind::remove, "b", 0));
 }
 
-// Without this delay, a new leader removes the host of a stopped leader half a
-// second after its own election.
+// Guards against the removal of a stopped leader's host by the new leader half
+// a second after the election.
 TEST(voter_policy, a_new_leader_waits_for_answers_before_it_removes_a_voter)
 {
     replica_status status =
--- a/packages/requests/include/crowlink/requests/admission_counts.hpp
+++ b/packages/requests/include/crowlink/requests/admission_counts.hpp
@@ -18,8 +18,9 @@
     std::uint64_t started = 0;
     std::uint64_t ended = 0;
     std::uint64_t refused = 0;
-    // Duplicate messages: parts of known requests, late cancellations and
-    // answers to runs that have ended.
+    // Duplicate and late messages: parts of requests that are complete or
+    // settled, late cancellations, and answers to runs that have ended or of
+    // another incarnation. Includes sequences beyond the window.
     std::uint64_t duplicates = 0;
     // Datagrams that were malformed or reused a sequence for another request.
     std::uint64_t invalid = 0;
--- a/packages/requests/include/crowlink/requests/answer_reason.hpp
+++ b/packages/requests/include/crowlink/requests/answer_reason.hpp
@@ -11,7 +11,8 @@
 {
     // The upstream answered.
     answered = 0,
-    // The agent's queue or memory is full, or the expected wait is too long.
+    // The agent's queue or memory is full, the expected wait exceeds its limit
+    // or the time left, or the caller has too many outstanding requests.
     overloaded = 1,
     // The deadline passed.
     expired = 2,
--- a/packages/requests/include/crowlink/requests/memory_limits.hpp
+++ b/packages/requests/include/crowlink/requests/memory_limits.hpp
@@ -15,8 +15,9 @@
     // Body bytes of stored answers. Beyond this limit, the oldest answers are
     // forgotten.
     std::size_t answer_bytes = std::size_t{16} << 20U;
-    // A session that has been idle for this long may be forgotten. If the
-    // limit is reached and no session is idle, new sessions are refused.
+    // A session that has been idle for this long and has no pending request may
+    // be forgotten. If the limit is reached and the least recently used session
+    // may not be forgotten, new sessions are refused.
     duration session_idle_timeout = std::chrono::seconds(10);
 
     friend auto operator<=>(const memory_limits&,
--- a/packages/requests/test/request_simulation_test.cpp
+++ b/packages/requests/test/request_simulation_test.cpp
@@ -59,7 +59,8 @@
     rc::detail::printResultMessage(outcome, message);
     EXPECT_TRUE(outcome.template is<rc::detail::SuccessResult>())
         << message.str();
-    // The simulations must produce enough of each of the three verdicts.
+    // Guards against simulations that prove little because they produce hardly
+    // any of one verdict.
     EXPECT_GT(ran, 1000);
     EXPECT_GT(not_run, 1000);
     EXPECT_GT(may_have_run, 1000);
