--- a/packages/membership/include/crowlink/membership/subscribed_state.hpp
+++ b/packages/membership/include/crowlink/membership/subscribed_state.hpp
@@ -29,7 +29,7 @@
     std::uint32_t generation = 0;
     // The record before its lease expired or it was removed as absent. Not set
     // if its end was announced.
-    std::optional<upstream_record> before_expiry;
+    std::optional<upstream_record> last_living_record;
     // When a publisher's snapshot first lacked it.
     std::optional<time_point> absent_since;
     // It is gone only because snapshots lacked it, so the same version may
--- a/packages/membership/src/subscribed_state.cpp
+++ b/packages/membership/src/subscribed_state.cpp
@@ -109,7 +109,7 @@
                                 : loss_reason::ended,
                       record.sequence);
         }
-        held.before_expiry =
+        held.last_living_record =
             is_silent ? std::optional(record_before_expiry(record, held))
                       : std::nullopt;
         held.record = record;
@@ -232,7 +232,7 @@
         if (now - *held.absent_since >= grace)
         {
             note_lost(held, loss_reason::absent, held.record.sequence);
-            held.before_expiry = held.record;
+            held.last_living_record = held.record;
             held.record.state = upstream_state::gone;
             held.removed_as_absent = true;
             held.gone_at = now;
@@ -328,12 +328,12 @@
     for (; member != m_records.end() && member->first.service == id; ++member)
     {
         const subscribed_record& held = member->second;
-        upstream_record record = held.before_expiry.value_or(held.record);
+        upstream_record record = held.last_living_record.value_or(held.record);
         if (is_gone(record))
         {
             continue;
         }
-        const bool is_silent = held.before_expiry ||
+        const bool is_silent = held.last_living_record ||
                                m_lost_places.count(record.where) != 0 ||
                                m_unreachable.count(record.where) != 0;
         if (is_silent)
--- a/packages/membership/test/node_invariants.hpp
+++ b/packages/membership/test/node_invariants.hpp
@@ -48,7 +48,7 @@
         const bool returned = last.started.value() != 0 && same &&
                               last.state == upstream_state::gone && !is_gone;
         ASSERT_FALSE(returned && !m_removed_as_absent[key]) << key.id.value();
-        const bool is_considered_ended = is_gone && !held.before_expiry;
+        const bool is_considered_ended = is_gone && !held.last_living_record;
         ASSERT_FALSE(is_considered_ended && ended.count(key.id) == 0)
             << name.value() << " " << key.id.value();
         m_removed_as_absent[key] = held.removed_as_absent;
