--- a/packages/membership/test/distribution_test.cpp
+++ b/packages/membership/test/distribution_test.cpp
@@ -137,8 +137,7 @@
 // A node keeps its newer document when control hosts that restarted serve an
 // older one. A node that restarts has none and takes the older one, until a
 // control host has the newest.
-TEST(distribution,
-     keeps_newer_versions_across_restarts_of_control_hosts_and_nodes)
+TEST(distribution, recovers_from_restarts_of_control_hosts_and_nodes)
 {
     fake_cluster cluster(4);
     build(cluster, 40);
