--- a/packages/membership/test/subscriber_test.cpp
+++ b/packages/membership/test/subscriber_test.cpp
@@ -103,7 +103,7 @@
 
 // Members of an evacuated data centre get no new flows. An order of an older
 // revision does not change that; one of a newer revision does.
-TEST_F(subscriber_stream, ignores_evacuations_of_an_older_revision)
+TEST_F(subscriber_stream, applies_evacuations_in_the_order_of_their_revisions)
 {
     const auto order = [this](std::uint64_t revision, bool evacuates)
     {
