--- a/packages/document/test/reader_test.cpp
+++ b/packages/document/test/reader_test.cpp
@@ -310,7 +310,7 @@
 
 // A value that only the schema rejects must yield an error and no exception if
 // it cannot be read. It is accepted otherwise.
-TEST(read_committed_document, rejects_documents_that_only_another_schema_allows)
+TEST(read_committed_document, reports_unreadable_documents_as_errors)
 {
     auto value = json::parse(full_document, nullptr, true, true);
     value["services"][0]["name"] = 7;
