--- a/packages/replication/src/replica_core.cpp
+++ b/packages/replication/src/replica_core.cpp
@@ -277,7 +277,7 @@
     if (entry.kind == entry_kind::membership)
     {
         m_memberships.append(entry.index, decode_membership(entry.payload));
-        remove_admitted_hosts();
+        erase_admitted_from_non_members();
     }
     m_log.append(std::move(entry));
 }
--- a/packages/replication/src/replica_core.hpp
+++ b/packages/replication/src/replica_core.hpp
@@ -150,7 +150,7 @@
     void send_hello_to_non_members();
     void bootstrap_log();
     void admit_observer();
-    void remove_admitted_hosts();
+    void erase_admitted_from_non_members();
     result<membership> changed_members(const member_change& change) const;
     result<disk_id> admitted_disk(const member_change& change) const;
     std::optional<error> membership_error(const membership& changed) const;
--- a/packages/replication/src/replica_follow.cpp
+++ b/packages/replication/src/replica_follow.cpp
@@ -210,7 +210,7 @@
         snapshot{body.index, body.term, body.members, m_state.cluster, data};
     m_log.reset(body.index, body.term);
     m_memberships.reset(body.index, body.members);
-    remove_admitted_hosts();
+    erase_admitted_from_non_members();
     m_queue.add_snapshot(*m_snapshot, true);
     m_applied_bytes = 0;
     m_snapshot_requested = false;
--- a/packages/replication/src/replica_members.cpp
+++ b/packages/replication/src/replica_members.cpp
@@ -137,7 +137,7 @@
 
 // Otherwise a host that is removed soon after its admission would be regarded
 // as a new one.
-void replica_core::remove_admitted_hosts()
+void replica_core::erase_admitted_from_non_members()
 {
     for (const member& one : members().members())
     {
