--- a/packages/replication/src/replica_core.hpp
+++ b/packages/replication/src/replica_core.hpp
@@ -118,7 +118,7 @@
     bool accept_leader(const replica_message& message);
     void on(const replica_message& message, const append_request& body);
     void on(const replica_message& message, const snapshot_chunk& body);
-    bool append_missing(const append_request& body);
+    bool merge_entries(const append_request& body);
     void reject(const replica_message& message, const append_request& body);
     void reply_to_leader(std::int64_t sent_at);
     void reply_when_durable(std::int64_t sent_at);
--- a/packages/replication/src/replica_follow.cpp
+++ b/packages/replication/src/replica_follow.cpp
@@ -66,7 +66,7 @@
         reject(message, body);
         return;
     }
-    const bool appended = append_missing(body);
+    const bool appended = merge_entries(body);
     m_match_index =
         std::max(m_match_index, body.previous_index + body.entries.size());
     m_leader_commit_at = m_now;
@@ -79,7 +79,7 @@
     reply_to_leader(body.sent_at);
 }
 
-bool replica_core::append_missing(const append_request& body)
+bool replica_core::merge_entries(const append_request& body)
 {
     bool appended = false;
     for (const log_entry& entry : body.entries)
