--- a/packages/replication/include/crowlink/replication/replicated_document.hpp
+++ b/packages/replication/include/crowlink/replication/replicated_document.hpp
@@ -65,8 +65,8 @@
     }
 
 private:
-    // A change for which a caller on this host, or another host, waits.
-    struct pending_change
+    // An operation for which a caller on this host, or another host, waits.
+    struct pending_operation
     {
         // The requester's number for it.
         std::uint64_t request = 0;
@@ -84,7 +84,7 @@
         term_number term = 0;
     };
     // Keyed by the request number of the proposal to the replica.
-    using pending_map = std::map<std::uint64_t, pending_change>;
+    using pending_map = std::map<std::uint64_t, pending_operation>;
 
     void handle_event(const propose_change& event);
     void handle_event(const propose_evacuation& event);
@@ -99,7 +99,7 @@
 
     // Proposes the change on this host or forwards it to the leader.
     void route(std::uint64_t proposal);
-    void forward_to(pending_change& pending, std::uint64_t proposal,
+    void forward_to(pending_operation& pending, std::uint64_t proposal,
                     const host_id& leader);
     void complete(std::uint64_t proposal, change_outcome outcome);
     void complete_at(log_index index, term_number term,
--- a/packages/replication/src/replicated_document.cpp
+++ b/packages/replication/src/replicated_document.cpp
@@ -48,7 +48,7 @@
 {
     const std::size_t operation_size = event.change.operation.value().size();
     const std::uint64_t proposal = m_next_proposal++;
-    pending_change pending;
+    pending_operation pending;
     pending.request = event.request;
     pending.change = event.change;
     pending.deadline = m_now + answer_timeout;
@@ -79,7 +79,7 @@
 void replicated_document::handle_event(const propose_evacuation& event)
 {
     const std::uint64_t proposal = m_next_proposal++;
-    pending_change pending;
+    pending_operation pending;
     pending.request = event.request;
     pending.evacuation = event.change;
     pending.deadline = m_now + answer_timeout;
@@ -181,7 +181,7 @@
         }
     }
     const std::uint64_t proposal = m_next_proposal++;
-    pending_change pending;
+    pending_operation pending;
     pending.request = forwarded.request;
     pending.requester = from;
     pending.change = forwarded.change;
@@ -216,7 +216,7 @@
 
 void replicated_document::route(std::uint64_t proposal)
 {
-    pending_change& pending = m_pending.at(proposal);
+    pending_operation& pending = m_pending.at(proposal);
     const replica_status state = status(m_now);
     const bool leads = state.role == replica_role::leader;
     if (leads)
@@ -235,7 +235,7 @@
     }
 }
 
-void replicated_document::forward_to(pending_change& pending,
+void replicated_document::forward_to(pending_operation& pending,
                                      std::uint64_t proposal,
                                      const host_id& leader)
 {
@@ -252,7 +252,7 @@
     {
         return;
     }
-    const pending_change pending = std::move(found->second);
+    const pending_operation pending = std::move(found->second);
     m_pending.erase(found);
     if (pending.requester.value().empty())
     {
@@ -300,7 +300,7 @@
     }
     for (const std::uint64_t proposal : covered)
     {
-        const pending_change& pending = m_pending.at(proposal);
+        const pending_operation& pending = m_pending.at(proposal);
         // The outcomes of evacuation orders are not kept.
         const std::optional<change_outcome> first =
             pending.evacuation ? std::nullopt
