--- a/packages/replication/test/document_memory_test.cpp
+++ b/packages/replication/test/document_memory_test.cpp
@@ -36,7 +36,7 @@
         , m_document(settings(), m_storage.take_restored(), m_now,
                      seeded_random(1))
     {
-        execute_effects(m_document.start());
+        perform_effects(m_document.start());
     }
 
     // Proposes an explicit version, which is in force on return.
@@ -46,7 +46,7 @@
         change.operation = operation_id("given-" + std::to_string(version));
         change.document = std::string(document_bytes, 'x');
         change.given = config_version(version);
-        execute_effects(
+        perform_effects(
             m_document.handle(m_now, propose_change{version, change}));
     }
 
@@ -55,7 +55,7 @@
         while (m_document.status(m_now).role != replica_role::leader)
         {
             m_now += std::chrono::milliseconds(100);
-            execute_effects(m_document.handle(m_now, tick{}));
+            perform_effects(m_document.handle(m_now, tick{}));
         }
     }
 
@@ -73,14 +73,14 @@
         return made;
     }
 
-    void execute_effects(const std::vector<document_effect>& effects)
+    void perform_effects(const std::vector<document_effect>& effects)
     {
         for (const document_effect& effect : effects)
         {
             if (const auto* wanted = std::get_if<persist>(&effect))
             {
                 ASSERT_TRUE(m_storage.write(wanted->request));
-                execute_effects(m_document.handle(
+                perform_effects(m_document.handle(
                     m_now, storage_done{wanted->request.sequence}));
             }
         }
--- a/packages/replication/test/fake_cluster.cpp
+++ b/packages/replication/test/fake_cluster.cpp
@@ -161,11 +161,11 @@
     fake_host& at = m_hosts[host];
     if (at.document)
     {
-        execute_effects(host, at.document->handle(now(at), one));
+        perform_effects(host, at.document->handle(now(at), one));
     }
 }
 
-void fake_cluster::execute_effects(std::size_t host,
+void fake_cluster::perform_effects(std::size_t host,
                                    const std::vector<document_effect>& effects)
 {
     for (const document_effect& effect : effects)
@@ -367,7 +367,7 @@
                         seeded_random(m_random()), limits, m_rules.replica,
                         m_rules.store);
     m_checker.restarted(settings.self);
-    execute_effects(host, at.document->start());
+    perform_effects(host, at.document->start());
 }
 
 void fake_cluster::lose_disk(std::size_t host)
--- a/packages/replication/test/fake_cluster.hpp
+++ b/packages/replication/test/fake_cluster.hpp
@@ -124,7 +124,7 @@
     void deliver();
     void write(std::size_t host);
     void apply_voter_policy(std::size_t host);
-    void execute_effects(std::size_t host,
+    void perform_effects(std::size_t host,
                          const std::vector<document_effect>& effects);
     void event(std::size_t host, const document_event& one);
     void transmit(const replica_message& message);
