--- a/bench/requests/surge_world.hpp
+++ b/bench/requests/surge_world.hpp
@@ -162,7 +162,7 @@
             if (m_agents[index].next_wakeup() <= m_now)
             {
                 m_agents[index].advance(m_now, m_done);
-                carry_out_agent(index);
+                perform_agent_effects(index);
             }
         }
     }
@@ -189,10 +189,10 @@
         flow.caller.port = static_cast<std::uint16_t>(index);
         flow.service.port = static_cast<std::uint16_t>(sent.path);
         m_agents[sent.path].handle_datagram(m_now, flow, sent.bytes, m_done);
-        carry_out_agent(sent.path);
+        perform_agent_effects(sent.path);
     }
 
-    void carry_out_agent(std::size_t index)
+    void perform_agent_effects(std::size_t index)
     {
         admission_effects effects;
         std::swap(effects, m_done);
@@ -223,7 +223,7 @@
         m_agents[index].handle_upstream(
             m_now, encode(upstream_answer{id, verdict::ran, {}, "answer"}),
             m_done);
-        carry_out_agent(index);
+        perform_agent_effects(index);
     }
 
     void count(const request_outcome& outcome)
--- a/packages/requests/test/request_simulation.cpp
+++ b/packages/requests/test/request_simulation.cpp
@@ -180,14 +180,14 @@
              [this, index]
              {
                  m_hosts[index].agent.upstream_lost(m_agent_effects);
-                 carry_out_agent(index);
+                 perform_agent_effects(index);
              });
     schedule(m_now + std::chrono::milliseconds(10) + delay(100),
              [this, index]
              {
                  m_hosts[index].upstream.restart();
                  m_hosts[index].agent.upstream_ready(m_now, m_agent_effects);
-                 carry_out_agent(index);
+                 perform_agent_effects(index);
              });
 }
 
@@ -237,7 +237,7 @@
         {
             each.agent.advance(m_now, m_agent_effects);
         }
-        carry_out_agent(index);
+        perform_agent_effects(index);
     }
     if (m_caller.next_wakeup() <= m_now)
     {
@@ -271,7 +271,7 @@
                                   : owner_of(path);
     m_hosts[index].agent.handle_datagram(m_now, flow_of(path), bytes,
                                          m_agent_effects);
-    carry_out_agent(index);
+    perform_agent_effects(index);
 }
 
 void request_simulation::transmit(const std::function<void()>& arrive)
@@ -289,7 +289,7 @@
     }
 }
 
-void request_simulation::carry_out_agent(std::size_t index)
+void request_simulation::perform_agent_effects(std::size_t index)
 {
     host& target = m_hosts[index];
     admission_effects effects;
@@ -316,7 +316,7 @@
                      {
                          m_hosts[index].agent.handle_upstream(m_now, *answer,
                                                               m_agent_effects);
-                         carry_out_agent(index);
+                         perform_agent_effects(index);
                      });
         }
     }
--- a/packages/requests/test/request_simulation.hpp
+++ b/packages/requests/test/request_simulation.hpp
@@ -61,7 +61,7 @@
     void step();
     time_point next_time() const;
     void carry_out_caller();
-    void carry_out_agent(std::size_t index);
+    void perform_agent_effects(std::size_t index);
     void deliver(path_index path, const std::string& bytes);
     void record_send(const std::string& bytes);
     void transmit(const std::function<void()>& arrive);
