--- a/packages/requests/src/caller_core.hpp
+++ b/packages/requests/src/caller_core.hpp
@@ -77,8 +77,8 @@
     void open_path(time_point now, path_index path, caller_effects& effects);
     duration opening_timeout(const caller_path& target) const;
     path_index replace_path(path_index path, caller_effects& effects);
-    void leave_draining(time_point now, path_index path,
-                        caller_effects& effects);
+    void replace_draining_path(time_point now, path_index path,
+                               caller_effects& effects);
     void settle_attempt(const caller_attempt& attempt, caller_effects& effects);
     void open_next_path(time_point now, path_index path,
                         caller_effects& effects);
--- a/packages/requests/src/caller_receive.cpp
+++ b/packages/requests/src/caller_receive.cpp
@@ -68,7 +68,7 @@
     }
     if (message.draining)
     {
-        leave_draining(now, path, effects);
+        replace_draining_path(now, path, effects);
         return;
     }
     target.refuse_until(now + message.retry_after);
@@ -157,7 +157,7 @@
     if (message.reason == answer_reason::draining &&
         m_paths.in_use(attempt.path))
     {
-        leave_draining(now, attempt.path, effects);
+        replace_draining_path(now, attempt.path, effects);
     }
     settle_attempt(attempt, effects);
     if (has_outstanding(request))
@@ -276,8 +276,8 @@
 // Replaces a path whose agent is draining by a new flow, which reaches another
 // agent. The new path is opened immediately, or after a timeout if the replaced
 // path was itself still waiting for a ticket.
-void caller_core::leave_draining(time_point now, path_index path,
-                                 caller_effects& effects)
+void caller_core::replace_draining_path(time_point now, path_index path,
+                                        caller_effects& effects)
 {
     const path_index fresh = replace_path(path, effects);
     caller_path& target = m_paths.at(fresh);
