--- a/packages/requests/test/request_admission_test.cpp
+++ b/packages/requests/test/request_admission_test.cpp
@@ -224,7 +224,8 @@
     EXPECT_TRUE(m_effects.to_callers.empty());
 }
 
-TEST_F(request_admission_test, a_draining_agent_finishes_its_work_only)
+TEST_F(request_admission_test,
+       a_draining_agent_finishes_its_work_and_refuses_new_work)
 {
     send(part(1));
     send(part(2));
