--- a/packages/agent/src/agent_admission.cpp
+++ b/packages/agent/src/agent_admission.cpp
@@ -40,11 +40,11 @@
     if (m_admission.can_admit(now, flows))
     {
         const bool is_first = header.best == packet_header::no_position;
-        const bool is_first_fit =
+        const bool accepts_first_fit =
             m_admission.sharing().goal == service_goal::continuity;
         const bool at_once = m_admission.admits_at_once(now, flows);
         if (m_admission.wants_trial(now) ||
-            (at_once && (is_first || is_first_fit)))
+            (at_once && (is_first || accepts_first_fit)))
         {
             accept_flow(now, header, event, flow_action::admitted, "low_load");
             return;
