--- a/packages/agent/include/crowlink/agent/flow_table.hpp
+++ b/packages/agent/include/crowlink/agent/flow_table.hpp
@@ -65,7 +65,7 @@
     using activity_iterator =
         boost::multi_index::index<container, by_activity>::type::iterator;
 
-    void skip_in_walk(activity_iterator place);
+    void skip_in_iteration(activity_iterator place);
 
     container m_flows;
     std::size_t m_lingering = 0;
--- a/packages/agent/src/flow_table.cpp
+++ b/packages/agent/src/flow_table.cpp
@@ -52,7 +52,7 @@
         return;
     }
     set_lingering(*writable(*found), false);
-    skip_in_walk(m_flows.project<by_activity>(found));
+    skip_in_iteration(m_flows.project<by_activity>(found));
     index.erase(found);
 }
 
@@ -65,7 +65,7 @@
     entry.active = now;
     auto& order = m_flows.get<by_activity>();
     const auto place = order.iterator_to(entry);
-    skip_in_walk(place);
+    skip_in_iteration(place);
     order.relocate(order.begin(), place);
 }
 
@@ -89,7 +89,7 @@
     return writable(*m_walk++);
 }
 
-void flow_table::skip_in_walk(activity_iterator place)
+void flow_table::skip_in_iteration(activity_iterator place)
 {
     if (m_walk == place)
     {
