--- a/packages/agent/include/crowlink/agent/owner_search.hpp
+++ b/packages/agent/include/crowlink/agent/owner_search.hpp
@@ -23,7 +23,7 @@
     std::vector<std::uint8_t> payload;
     // No silent member serves the flow: the caller has retransmitted, or all
     // silent members are given up.
-    bool is_unserved = false;
+    bool is_unserved_by_silent = false;
     // When the caller has given up, unless it retransmits again.
     time_point until{};
     // Members that have not denied the flow yet; sorted.
@@ -76,7 +76,7 @@
     // Starts a search, or replaces the packet of a running one. Returns whether
     // there was room.
     bool add(time_point now, const packet_header& header, payload_view payload,
-             bool is_unserved);
+             bool is_unserved_by_silent);
 
     // The questions that are due, up to `room`; the questions for one member
     // stay together and may exceed it. A round covers each of `members`,
--- a/packages/agent/src/agent_search.cpp
+++ b/packages/agent/src/agent_search.cpp
@@ -21,10 +21,10 @@
     // counts as unserved without a retransmission.
     const bool is_given_up =
         m_members.has_given_up_silent() && event.need == answer_need::required;
-    const bool is_unserved =
+    const bool is_unserved_by_silent =
         is_given_up ||
         (!m_members.silent_members().empty() && caller_retransmits(now, event));
-    if (!m_search.add(now, header, event.payload, is_unserved))
+    if (!m_search.add(now, header, event.payload, is_unserved_by_silent))
     {
         ++m_counts.searches_omitted;
         return;
@@ -222,7 +222,7 @@
 void agent::end_search(const internal::searched_flow& searched)
 {
     const std::vector<candidate> silent = m_members.silent_members();
-    if (!silent.empty() && searched.is_unserved)
+    if (!silent.empty() && searched.is_unserved_by_silent)
     {
         reset_silent(searched.header, searched.payload);
         return;
--- a/packages/agent/src/owner_search.cpp
+++ b/packages/agent/src/owner_search.cpp
@@ -45,7 +45,7 @@
 } // namespace
 
 bool owner_search::add(time_point now, const packet_header& header,
-                       payload_view payload, bool is_unserved)
+                       payload_view payload, bool is_unserved_by_silent)
 {
     const std::uint64_t flow = stable_hash(header.flow);
     const bool is_known = m_flows.count(flow) != 0;
@@ -64,7 +64,8 @@
     }
     kept.header = header;
     kept.payload.assign(payload.begin(), payload.end());
-    kept.is_unserved = kept.is_unserved || is_unserved;
+    kept.is_unserved_by_silent =
+        kept.is_unserved_by_silent || is_unserved_by_silent;
     return true;
 }
 
