--- a/packages/agent/include/crowlink/agent.hpp
+++ b/packages/agent/include/crowlink/agent.hpp
@@ -4,18 +4,21 @@
 // its flows. A state machine without I/O: agent::handle(now, event, effects).
 // docs/design/flows.md describes how flows are looked up, placed and kept.
 //
-//   agent.hpp            the state machine
-//   agent_settings.hpp   its settings, fixed at its start
-//   agent_events.hpp     its input events
-//   agent_effects.hpp    its outputs, as a concept
-//   agent_counts.hpp     its counters
-//   peer_message.hpp     messages between agents
-//   redirect_notice.hpp  flow locations, sent to their first candidates
-//   load_notice.hpp      the load of a peer
-//   shed_notice.hpp      permission to take no new flow
-//   flow_refusal.hpp     why a caller is refused or reset
-//   flow_decision.hpp    one decision, for the log
-//   forward_opening.hpp  forwards an opening packet that arrived by mistake
+//   agent.hpp                  the state machine
+//   agent_settings.hpp         its settings, fixed at its start
+//   agent_events.hpp           its input events
+//   agent_effects.hpp          its outputs, as a concept
+//   agent_counts.hpp           its counters
+//   peer_message.hpp           messages between agents
+//   redirect_notice.hpp        flow locations, sent to their first candidates
+//   load_notice.hpp            the load of a peer
+//   shed_notice.hpp            permission to take no new flow
+//   flow_refusal.hpp           why a caller is refused or reset
+//   flow_decision.hpp          one decision, for the log
+//   forward_opening.hpp        forwards an opening packet that arrived by
+//   mistake upstream_tracker.hpp       the state of the upstream beside the
+//   agent upstream_announcement.hpp  what an upstream announces periodically
+//   upstream_withdrawal.hpp    an upstream's notice that it ends
 //
 // The parts below are internal:
 //
@@ -31,6 +34,7 @@
 //   redirect_batch.hpp           redirects that wait to be sent
 //   retransmission_detector.hpp  whether a caller's flow is served
 //   owner_search.hpp             searches for the owners of flows
+//   returned_flows.hpp           flows that the upstream does not hold
 //   silent_member_query.hpp      datagrams that wait for silent members
 //   deadline_queue.hpp           flows that are due for a later check
 //   effect_queue.hpp             effects between decision and execution
