--- a/packages/replication/src/replica_core.hpp
+++ b/packages/replication/src/replica_core.hpp
@@ -118,7 +118,7 @@
     bool accept_leader(const replica_message& message);
     void on(const replica_message& message, const append_request& body);
     void on(const replica_message& message, const snapshot_chunk& body);
-    bool append_missing(const append_request& body);
+    bool merge_entries(const append_request& body);
     void reject(const replica_message& message, const append_request& body);
     void reply_to_leader(std::int64_t sent_at);
     void reply_when_durable(std::int64_t sent_at);
@@ -150,7 +150,7 @@
     void send_hello_to_non_members();
     void bootstrap_log();
     void admit_observer();
-    void remove_admitted_hosts();
+    void erase_admitted_from_non_members();
     result<membership> changed_members(const member_change& change) const;
     result<disk_id> admitted_disk(const member_change& change) const;
     std::optional<error> membership_error(const membership& changed) const;
