--- a/packages/agent/include/crowlink/agent.hpp
+++ b/packages/agent/include/crowlink/agent.hpp
@@ -15,9 +15,9 @@
 //   shed_notice.hpp            permission to take no new flow
 //   flow_refusal.hpp           why a caller is refused or reset
 //   flow_decision.hpp          one decision, for the log
-//   forward_opening.hpp        forwards an opening packet that arrived by
-//   mistake upstream_tracker.hpp       the state of the upstream beside the
-//   agent upstream_announcement.hpp  what an upstream announces periodically
+//   forward_opening.hpp        forwards opening packets that came by mistake
+//   upstream_tracker.hpp       the state of the upstream beside the agent
+//   upstream_announcement.hpp  what an upstream announces periodically
 //   upstream_withdrawal.hpp    an upstream's notice that it ends
 //
 // The parts below are internal:
